--- a/src/fuchsiadale/backend/http.py
+++ b/src/fuchsiadale/backend/http.py
@@ -16,7 +16,7 @@
     StartReplies,
     StartReply,
     StopBatch,
-    check_report,
+    validate_report,
 )
 from fuchsiadale.backend.server import (
     BackendConnector,
@@ -79,7 +79,7 @@
         message = await self._call(path, order, ReportMessage, hold_s)
         if isinstance(message, Err):
             return message
-        report = check_report(message.ok_value)
+        report = validate_report(message.ok_value)
         return report.map_err(lambda _: CallFailure.INVALID_ANSWER)
 
     async def _call(
--- a/src/fuchsiadale/backend/messages.py
+++ b/src/fuchsiadale/backend/messages.py
@@ -148,13 +148,13 @@
     refusal: SessionRefusal
 
 
-def make_end(attempt_id: str, end: AttemptEnd, answer: bytes) -> EndMessage:
+def make_end_message(attempt_id: str, end: AttemptEnd, answer: bytes) -> EndMessage:
     """Return the message of an end, with the answer's length and digest."""
     digest = hashlib.sha256(answer).hexdigest()
     return EndMessage(attempt_id, end, answer, len(answer), digest)
 
 
-def check_report(message: ReportMessage) -> Result[WorkerReport, str]:
+def validate_report(message: ReportMessage) -> Result[WorkerReport, str]:
     """Return a report whose answers are whole, or what is wrong with one."""
     ended: list[EndedAttempt] = []
     for end in message.ended:
--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -10,7 +10,7 @@
 from eliot import log_message
 
 from fuchsiadale.decision.workflow.messages import AskAdvice
-from fuchsiadale.ports.task_workers import Advice, Advisor
+from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 ANSWER_FACTOR = 2.0
 """Times its cost that an answer may take; the service is at times slow."""
@@ -27,12 +27,12 @@
 
     Parameters
     ----------
-    local : Advisor
+    local : AdviceClient
         This process's own lane.
     """
 
-    def __init__(self, local: Advisor) -> None:
-        self._advisors: dict[str, Advisor] = {"": local}
+    def __init__(self, local: AdviceClient) -> None:
+        self._advisors: dict[str, AdviceClient] = {"": local}
         self._busy: set[str] = set()
         self._paused_until_s: dict[str, float] = {}
 
@@ -41,7 +41,7 @@
         """Calls that can be under way at once."""
         return len(self._advisors) - len(self._paused())
 
-    def set_peers(self, advisors: dict[str, Advisor]) -> None:
+    def set_peers(self, advisors: dict[str, AdviceClient]) -> None:
         """Use these peers' lanes beside this process's own."""
         self._advisors = {"": self._advisors[""], **advisors}
 
@@ -53,7 +53,7 @@
         self._busy.add(lane)
         try:
             timeout_s = ANSWER_FACTOR * order.cost_s + ANSWER_MARGIN_S
-            advice = await self._advisors[lane].ask(
+            advice = await self._advisors[lane].request_advice(
                 order.step, order.worker_ids, timeout_s
             )
         finally:
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -30,7 +30,7 @@
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
 from fuchsiadale.ports.configuration_source import ConfigurationSource
 from fuchsiadale.ports.rows import RowStore
-from fuchsiadale.ports.task_workers import Advisor, TaskWorkers
+from fuchsiadale.ports.task_workers import AdviceClient, WorkerClient
 from fuchsiadale.ports.worker_list import WorkerList
 from fuchsiadale.supervisor import Supervisor
 
@@ -55,10 +55,10 @@
     """What surrounds a process."""
 
     store: RowStore
-    workers: TaskWorkers
+    workers: WorkerClient
     worker_list: WorkerList
     configuration: ConfigurationSource
-    advisor: Advisor
+    advisor: AdviceClient
 
 
 @frozen
--- a/src/fuchsiadale/cell/owner_ports.py
+++ b/src/fuchsiadale/cell/owner_ports.py
@@ -6,7 +6,7 @@
 
 from fuchsiadale.cell.advice_pool import AdvicePool
 from fuchsiadale.ports.rows import RowStore
-from fuchsiadale.ports.task_workers import TaskWorkers
+from fuchsiadale.ports.task_workers import WorkerClient
 from fuchsiadale.ports.worker_list import WorkerList
 
 
@@ -15,6 +15,6 @@
     """What an owner talks to."""
 
     store: RowStore
-    workers: TaskWorkers
+    workers: WorkerClient
     worker_list: WorkerList
     advice: AdvicePool
--- a/src/fuchsiadale/cell/peers.py
+++ b/src/fuchsiadale/cell/peers.py
@@ -29,7 +29,7 @@
 )
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.decision.workflow.names import StepName
-from fuchsiadale.ports.task_workers import Advice, Advisor
+from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 SYNC_TIMEOUT_S = 0.4
 """Seconds until a peer counts as silent; forty times its usual answer."""
@@ -104,7 +104,7 @@
         Returns a job, or None if this process does not own the cell, or a view.
     notify : callable
         Takes a stored row; tells whether this process owns the cell.
-    advisor : Advisor
+    advisor : AdviceClient
         This machine's lane to the advice service.
     """
 
@@ -113,7 +113,7 @@
         sync: Callable[[str, str, int, bool], OwnerStanding],
         show_job: Callable[[str], tuple[bool, JobView | None]],
         notify: Callable[[str, bytes], bool],
-        advisor: Advisor,
+        advisor: AdviceClient,
     ) -> None:
         self.sync = sync
         self.show_job = show_job
@@ -173,7 +173,7 @@
     ) -> AdviseReply:
         """Ask the advice service from this machine."""
         job_id, occurrence, step = request.step.rsplit(".", 2)
-        advice = await self._handler.advisor.ask(
+        advice = await self._handler.advisor.request_advice(
             StepName(job_id, int(occurrence), int(step)),
             tuple(request.worker_ids),
             request.timeout_s,
@@ -211,7 +211,7 @@
     return server
 
 
-class PeerClient(Advisor):
+class PeerClient(AdviceClient):
     """Calls one peer; a call without an answer takes the channel with it.
 
     Parameters
@@ -278,7 +278,7 @@
         request = NotifyRequest(key=key, value=value)
         await self._call("Notify", request, NOTIFY_TIMEOUT_S)
 
-    async def ask(
+    async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
         """Ask the advice service from the peer's machine."""
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -20,10 +20,10 @@
 )
 from fuchsiadale.ports.task_workers import (
     CallFailure,
-    LookRequest,
+    PollRequest,
     StartRequest,
-    TaskWorkers,
     WorkerAddress,
+    WorkerClient,
 )
 
 LEASE_S = 4.5
@@ -109,7 +109,7 @@
 
     Parameters
     ----------
-    workers : TaskWorkers
+    workers : WorkerClient
         Makes the calls.
     address : WorkerAddress
         The worker.
@@ -125,7 +125,7 @@
 
     def __init__(
         self,
-        workers: TaskWorkers,
+        workers: WorkerClient,
         address: WorkerAddress,
         epoch: int,
         max_lease_s: float,
@@ -239,9 +239,9 @@
         # Renewing a silent worker's leases would keep its runs in the books for good.
         lease_end_ms = None if self._is_silent else self._renewed_until()
         sent_s = asyncio.get_running_loop().time()
-        outcome = await self._workers.look(
+        outcome = await self._workers.poll(
             self._address,
-            LookRequest(lease_end_ms, self._epoch, self._acknowledged, wait_s),
+            PollRequest(lease_end_ms, self._epoch, self._acknowledged, wait_s),
             wait_s + LOOK_MARGIN_S,
         )
         now_s = asyncio.get_running_loop().time()
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -27,7 +27,7 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.objects import ObjectStore
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableFailure,
     TableService,
@@ -207,8 +207,8 @@
                 Write(CONFIG_HEAD_KEY, encode(ConfigHead(version, name))),
             ),
             conditions=(
-                Condition(CONFIG_HEAD_KEY, row.version if row else ABSENT),
-                Condition(config_key(version), ABSENT),
+                Condition(CONFIG_HEAD_KEY, row.version if row else ABSENT_VERSION),
+                Condition(config_key(version), ABSENT_VERSION),
             ),
         )
         outcome = await self._table.transact(transaction)
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -23,13 +23,13 @@
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableFailure,
     TableService,
     Transaction,
     Write,
-    transact_surely,
+    transact_with_readback,
 )
 
 GRANT_PERIOD_S = 0.1
@@ -258,10 +258,12 @@
             transaction = Transaction(
                 writes=(Write(team_key(name), encode(changed.ok_value)),),
                 conditions=(
-                    Condition(team_key(name), stored.version if stored else ABSENT),
+                    Condition(
+                        team_key(name), stored.version if stored else ABSENT_VERSION
+                    ),
                 ),
             )
-            outcome = await transact_surely(self._table, transaction)
+            outcome = await transact_with_readback(self._table, transaction)
             if isinstance(outcome, Err):
                 self._counters.add(f"grants.{outcome.err_value.value}")
                 return
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -27,7 +27,7 @@
     TableService,
     Transaction,
     Write,
-    transact_surely,
+    transact_with_readback,
 )
 
 SNAPSHOT_EVENTS = 5000
@@ -163,7 +163,7 @@
             writes=(Write(key, encode(row)),),
             conditions=(Condition(key, self._row_version),),
         )
-        outcome = await transact_surely(self._table, transaction)
+        outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Err):
             return False
         self.row = row
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -20,7 +20,7 @@
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableFailure,
     TableService,
@@ -189,7 +189,7 @@
         transaction = Transaction(
             writes=(Write(key, encode(JournalRow(batch.entries))),),
             conditions=(
-                Condition(key, ABSENT),
+                Condition(key, ABSENT_VERSION),
                 Condition(alive_key(member), alive_version),
             ),
             nonce=f"{member}/{self._next_number}",
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -22,13 +22,13 @@
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableFailure,
     TableService,
     Transaction,
     Write,
-    transact_surely,
+    transact_with_readback,
 )
 
 Renewed = Callable[[float], None]
@@ -104,9 +104,9 @@
                 Write(alive_key(member), b""),
                 Write(stream_key(member), b""),
             ),
-            conditions=(Condition(alive_key(member), ABSENT),),
+            conditions=(Condition(alive_key(member), ABSENT_VERSION),),
         )
-        outcome = await transact_surely(self._table, transaction)
+        outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Err):
             self._counters.add(f"membership.join.{outcome.err_value.value}")
             return
@@ -124,7 +124,7 @@
             writes=(Write(member_key(member), encode(row)),),
             conditions=(Condition(alive_key(member), self._identity.alive_version),),
         )
-        outcome = await transact_surely(self._table, transaction)
+        outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Ok):
             self._on_renewed(sent_s)
             return
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -37,7 +37,7 @@
 from fuchsiadale.peers.service import PeerService
 from fuchsiadale.ports.hosts import HostList
 from fuchsiadale.ports.objects import ObjectStore
-from fuchsiadale.ports.observed import ObservedTable
+from fuchsiadale.ports.observed_table import ObservedTable
 from fuchsiadale.ports.table import TableService
 from fuchsiadale.supervisor import Supervisor
 
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -31,12 +31,12 @@
 from fuchsiadale.entry.recovery import RecordedState
 from fuchsiadale.entry.workers_driver import WorkerList
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableService,
     Transaction,
     Write,
-    transact_surely,
+    transact_with_readback,
 )
 
 WATCH_PERIOD_S = 1.0
@@ -268,14 +268,16 @@
                 Write(EPOCH_KEY, encode(EpochRow(taken.epoch))),
             ),
             conditions=(
-                Condition(partition_key(name), reading.versions.get(name, ABSENT)),
-                Condition(EPOCH_KEY, stored.version if stored else ABSENT),
+                Condition(
+                    partition_key(name), reading.versions.get(name, ABSENT_VERSION)
+                ),
+                Condition(EPOCH_KEY, stored.version if stored else ABSENT_VERSION),
                 Condition(
                     alive_key(self._identity.member), self._identity.alive_version
                 ),
             ),
         )
-        outcome = await transact_surely(self._table, transaction)
+        outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Err):
             self._tools.counters.add(f"ownership.take.{outcome.err_value.value}")
             self._wake.set()
--- a/src/fuchsiadale/platform/advice.py
+++ b/src/fuchsiadale/platform/advice.py
@@ -4,12 +4,12 @@
 
 from fuchsiadale.decision.workflow.names import StepName
 from fuchsiadale.platform.http import HttpClient, NoReply
-from fuchsiadale.ports.task_workers import Advice, Advisor
+from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 MS_PER_S = 1000.0
 
 
-class PlatformAdvisor(Advisor):
+class PlatformAdviceClient(AdviceClient):
     """Asks the advice service over HTTP.
 
     Parameters
@@ -24,7 +24,7 @@
         self._client = client
         self._url = f"http://{address}/api/advise"
 
-    async def ask(
+    async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
         """Return the tickets granted, or None without an answer."""
--- a/src/fuchsiadale/platform/documents.py
+++ b/src/fuchsiadale/platform/documents.py
@@ -26,7 +26,7 @@
 WORKERS_TABLE = "servers"
 MS_PER_S = 1000.0
 
-MAX_TASKS = 5_000
+MAX_TASKS_PER_JOB = 5_000
 """Tasks of one job over all steps and occurrences; bounds what a caller can ask."""
 
 _STATES = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
@@ -104,8 +104,8 @@
         if any(not 0 <= before < index for before in step.after):
             return f"step {index} waits for a step that is not earlier"
     tasks = sum(step.count for step in specification.steps)
-    if tasks * specification.occurrences > MAX_TASKS:
-        return f"the job has more than {MAX_TASKS} tasks"
+    if tasks * specification.occurrences > MAX_TASKS_PER_JOB:
+        return f"the job has more than {MAX_TASKS_PER_JOB} tasks"
     return None
 
 
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -15,7 +15,7 @@
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.platform.documents import decode_job
 
-KEY_HEADER = "X-Fuchsiadale-Credential"
+API_KEY_HEADER = "X-Fuchsiadale-Credential"
 MAX_BODY_BYTES = 1 << 20
 """Longest body taken, in bytes: four times the platform's own limit."""
 
@@ -39,18 +39,18 @@
         Answers them.
     metrics : CellMetrics
         Counts and times them.
-    is_leaving : callable
+    is_draining : callable
         Tells whether connections should end with their answers.
     """
 
     def __init__(
-        self, gateway: Gateway, metrics: CellMetrics, is_leaving: Callable[[], bool]
+        self, gateway: Gateway, metrics: CellMetrics, is_draining: Callable[[], bool]
     ) -> None:
         self._gateway = gateway
         self._metrics = metrics
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call."""
         with self._metrics.call_seconds.time():
             outcome = await self._dispatch(request)
@@ -73,7 +73,7 @@
             response = _json(outcome.ok_value, 200)
             label = "ok"
         self._metrics.calls.labels(request.method, label).inc()
-        if self._is_leaving():
+        if self._is_draining():
             response.force_close()
         return response
 
@@ -81,7 +81,7 @@
         self, request: web.BaseRequest
     ) -> Result[dict[str, object], Refusal]:
         host = request.headers.get("Host", "").partition(":")[0]
-        call = Call(host, request.path, request.headers.get(KEY_HEADER, ""))
+        call = Call(host, request.path, request.headers.get(API_KEY_HEADER, ""))
         gateway = self._gateway
         if request.method == "POST":
             body = await request.read()
--- a/src/fuchsiadale/platform/main.py
+++ b/src/fuchsiadale/platform/main.py
@@ -21,7 +21,7 @@
     answer_metrics,
 )
 from fuchsiadale.cell.event_log import EventLog
-from fuchsiadale.platform.advice import PlatformAdvisor
+from fuchsiadale.platform.advice import PlatformAdviceClient
 from fuchsiadale.platform.http import HttpClient
 from fuchsiadale.platform.ingress import Ingress, make_readiness_handler
 from fuchsiadale.platform.registry import (
@@ -30,22 +30,22 @@
 )
 from fuchsiadale.platform.settings import (
     CellSettings,
+    get_settings_path,
     read_cell_settings,
-    settings_path,
 )
 from fuchsiadale.platform.store import PlatformRowStore
-from fuchsiadale.platform.worker_api import PlatformWorkers
+from fuchsiadale.platform.worker_api import PlatformWorkerClient
 
-INVALID_SETTINGS = 3
+INVALID_SETTINGS_EXIT_CODE = 3
 """Exit code for settings that cannot be used, as documented for the command."""
 
 
 def main(path: Path | None = None) -> None:
     """Read the settings and serve until told to stop."""
-    settings = read_cell_settings(path or settings_path())
+    settings = read_cell_settings(path or get_settings_path())
     if isinstance(settings, Err):
         print(settings.err_value, file=sys.stderr)
-        sys.exit(INVALID_SETTINGS)
+        sys.exit(INVALID_SETTINGS_EXIT_CODE)
     with asyncio.Runner(loop_factory=BootClockLoop) as runner:
         runner.run(serve(settings.ok_value))
 
@@ -61,16 +61,16 @@
         CellIdentity(settings.node, f"{settings.ip}:{settings.peer_port}"),
         CellSystems(
             store,
-            PlatformWorkers(client),
+            PlatformWorkerClient(client),
             PlatformWorkerList(store),
             PlatformConfigurationSource(store),
-            PlatformAdvisor(client, settings.advice_address),
+            PlatformAdviceClient(client, settings.advice_address),
         ),
-        settings.terms,
+        settings.bounds,
     )
     ingress = Ingress(daemon.gateway, daemon.metrics, lambda: daemon.is_leaving)
     listeners = [
-        Listener(settings.callers_address, ingress.answer),
+        Listener(settings.callers_address, ingress.handle_request),
         Listener(
             settings.readiness_address,
             make_readiness_handler(lambda: daemon.is_ready),
--- a/src/fuchsiadale/platform/settings.py
+++ b/src/fuchsiadale/platform/settings.py
@@ -37,7 +37,7 @@
         ``ip:port`` of the advice service; empty if there is none.
     is_first_start : bool
         Whether the whole system starts for the first time.
-    terms : CellTerms
+    bounds : CellTerms
         The deployment's bounds.
     """
 
@@ -49,10 +49,10 @@
     store_address: str
     advice_address: str
     is_first_start: bool
-    terms: CellTerms
+    bounds: CellTerms
 
 
-def settings_path() -> Path:
+def get_settings_path() -> Path:
     """Return where the platform writes the settings."""
     return Path(os.environ.get(SETTINGS_PATH_VARIABLE, DEFAULT_SETTINGS_PATH))
 
@@ -86,7 +86,7 @@
         store_address=fields["platform.address"],
         advice_address=fields.get("advice", ""),
         is_first_start=fields.get("is_first_start") == "true",
-        terms=CellTerms(
+        bounds=CellTerms(
             max_lease_s=_seconds(fields, "bounds.hold_max_ms", 6000.0),
             revocation_s=_seconds(fields, "bounds.revoke_ms", 5000.0),
             status_retention_s=float(fields.get("bounds.status_s", "120")),
--- a/src/fuchsiadale/platform/worker_api.py
+++ b/src/fuchsiadale/platform/worker_api.py
@@ -17,11 +17,11 @@
 from fuchsiadale.platform.http import HttpClient, NoReply, Reply
 from fuchsiadale.ports.task_workers import (
     CallFailure,
-    LookRequest,
+    PollRequest,
     StartAnswer,
     StartRequest,
-    TaskWorkers,
     WorkerAddress,
+    WorkerClient,
 )
 
 EXPECT_INSTANCE = "X-Fuchsiadale-Expect-Instance"
@@ -44,7 +44,7 @@
 }
 
 
-class PlatformWorkers(TaskWorkers):
+class PlatformWorkerClient(WorkerClient):
     """Calls workers over HTTP.
 
     Parameters
@@ -108,13 +108,13 @@
         }
         return _done(await self._call(worker, "pace", body, timeout_s))
 
-    async def look(
-        self, worker: WorkerAddress, request: LookRequest, timeout_s: float
+    async def poll(
+        self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
         """Renew the lease and return what runs and what ended."""
         body: dict[str, Any] = {
             "fencing_token": request.fencing_token,
-            "acked_through": request.acknowledged_end,
+            "acked_through": request.acknowledged_through,
             "wait_ms": round(1000 * request.wait_s),
         }
         if request.lease_end_ms is not None:
--- a/src/fuchsiadale/ports/table.py
+++ b/src/fuchsiadale/ports/table.py
@@ -10,7 +10,7 @@
 from attrs import field, frozen
 from result import Err, Ok, Result
 
-ABSENT = 0
+ABSENT_VERSION = 0
 
 
 @frozen
@@ -22,7 +22,8 @@
     key : str
         The row's key.
     version : int
-        Grows with every change of the row; `ABSENT` for a row that does not exist.
+        Increases with every change of the row; `ABSENT_VERSION` if the row does not
+        exist.
     value : bytes
         The content.
     nonce : str
@@ -37,7 +38,7 @@
 
 @frozen
 class Condition:
-    """A row must still have this version; `ABSENT` if it must not exist."""
+    """A row must still have this version; `ABSENT_VERSION` if it must not exist."""
 
     key: str
     version: int
@@ -108,7 +109,7 @@
         """Apply a transaction."""
 
 
-async def transact_surely(
+async def transact_with_readback(
     table: TableService, transaction: Transaction
 ) -> Result[Committed, TableFailure]:
     """Apply a transaction, and read it back if its answer was lost.
--- a/src/fuchsiadale/ports/task_workers.py
+++ b/src/fuchsiadale/ports/task_workers.py
@@ -60,7 +60,7 @@
 
 
 @frozen
-class LookRequest:
+class PollRequest:
     """Renews the lease of everything on a worker and asks what is there.
 
     Attributes
@@ -69,7 +69,7 @@
         When the lease ends, on the worker's clock; None to leave it as it is.
     fencing_token : int
         The owner's token.
-    acknowledged_end : int
+    acknowledged_through : int
         Ends up to this number may be forgotten.
     wait_s : float
         How long the worker may wait for an end before it answers, in seconds.
@@ -77,7 +77,7 @@
 
     lease_end_ms: int | None
     fencing_token: int
-    acknowledged_end: int
+    acknowledged_through: int
     wait_s: float
 
 
@@ -90,7 +90,7 @@
     NO_ANSWER = "no_answer"
 
 
-class TaskWorkers(ABC):
+class WorkerClient(ABC):
     """Calls workers."""
 
     @abstractmethod
@@ -123,8 +123,8 @@
         """Let a run work at a share of its speed."""
 
     @abstractmethod
-    async def look(
-        self, worker: WorkerAddress, request: LookRequest, timeout_s: float
+    async def poll(
+        self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
         """Renew the lease and return what runs and what ended."""
 
@@ -137,11 +137,11 @@
     valid_s: float
 
 
-class Advisor(ABC):
+class AdviceClient(ABC):
     """Asks which workers may run a step."""
 
     @abstractmethod
-    async def ask(
+    async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
         """Return the tickets granted, or None without an answer."""
--- a/src/fuchsiadale/standin/table.py
+++ b/src/fuchsiadale/standin/table.py
@@ -13,7 +13,7 @@
 from fuchsiadale.ports.hosts import HostList, HostListing
 from fuchsiadale.ports.objects import ObjectFailure, ObjectStore
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Committed,
     Row,
     TableFailure,
@@ -90,7 +90,9 @@
         """Apply a transaction; return its version, or None for a conflict."""
         for condition in transaction.conditions:
             row = self.rows.get(condition.key)
-            if (row.version if row is not None else ABSENT) != condition.version:
+            if (
+                row.version if row is not None else ABSENT_VERSION
+            ) != condition.version:
                 return None
         self.version += 1
         for write in transaction.writes:
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -18,7 +18,7 @@
     StartOrder,
     StartReply,
     StopBatch,
-    make_end,
+    make_end_message,
 )
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.ledger import WorkerInfo
@@ -270,7 +270,7 @@
         if run.runner is not None and run.runner is not asyncio.current_task():
             run.runner.cancel()
         self._end_count += 1
-        message = make_end(attempt_id, end, answer)
+        message = make_end_message(attempt_id, end, answer)
         self._ends[attempt_id] = _End(self._end_count, message)
         self.observations.append(
             Observation(attempt_id, self.info.name, run.started_s, self._clock.now())
--- a/tests/links.py
+++ b/tests/links.py
@@ -16,7 +16,7 @@
     StartBatch,
     StartReply,
     StopBatch,
-    check_report,
+    validate_report,
 )
 from fuchsiadale.backend.server import (
     BackendConnector,
@@ -308,5 +308,5 @@
 ) -> Result[WorkerReport, CallFailure]:
     if isinstance(answer, Err):
         return Err(CallFailure.STALE_EPOCH)
-    checked = check_report(answer.ok_value)
+    checked = validate_report(answer.ok_value)
     return checked.map_err(lambda _: CallFailure.INVALID_ANSWER)
--- a/tests/row_store.py
+++ b/tests/row_store.py
@@ -28,17 +28,17 @@
         Whether every call is refused.
     lost_answers : int
         How many of the next transactions are applied and not answered.
-    loses_history : bool
+    is_history_lost : bool
         Whether the next watch is told that the history is gone.
-    written : list of RowWrite
+    applied_writes : list of RowWrite
         Every write that was applied.
     """
 
     def __init__(self) -> None:
         self.is_down = False
         self.lost_answers = 0
-        self.loses_history = False
-        self.written: list[RowWrite] = []
+        self.is_history_lost = False
+        self.applied_writes: list[RowWrite] = []
         self._rows: dict[tuple[str, str], TableRow] = {}
         self._log: list[TableRow] = []
         self._version = 0
@@ -48,7 +48,7 @@
         """Write a row without a condition."""
         self._apply((RowWrite(table, key, value),))
 
-    def version_of(self, table: str, key: str) -> int:
+    def get_version(self, table: str, key: str) -> int:
         """Return the version of a row, 0 if it does not exist."""
         row = self._rows.get((table, key))
         return row.version if row else 0
@@ -64,7 +64,7 @@
         if self.is_down:
             return Err(StoreFailure.UNAVAILABLE)
         for condition in conditions:
-            if self.version_of(condition.table, condition.key) != condition.version:
+            if self.get_version(condition.table, condition.key) != condition.version:
                 return Err(StoreFailure.CONFLICT)
         self._apply(writes)
         if self.lost_answers:
@@ -93,8 +93,8 @@
             await asyncio.sleep(ANSWER_S)
             if self.is_down:
                 return Err(StoreFailure.UNAVAILABLE)
-            if self.loses_history:
-                self.loses_history = False
+            if self.is_history_lost:
+                self.is_history_lost = False
                 return Err(StoreFailure.HISTORY_LOST)
             rows = tuple(
                 row for row in self._log if row.table == table and row.version > after
@@ -106,7 +106,7 @@
     def _apply(self, writes: tuple[RowWrite, ...]) -> None:
         self._version += 1
         for write in writes:
-            self.written.append(write)
+            self.applied_writes.append(write)
             key = (write.table, write.key)
             value = write.value or b""
             is_deleted = write.value is None
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -40,7 +40,7 @@
             self.store,
             self.cell.scheduler,
             ROW,
-            self.store.version_of(CONTROL_TABLE, OWNER_KEY),
+            self.store.get_version(CONTROL_TABLE, OWNER_KEY),
             self.recorded.append,
             self.deposed.append,
         )
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -97,7 +97,7 @@
         await front.start()
         assert await front.submit() is None
         assert await front.submit() is None
-        assert [write.key for write in front.store.written] == [JOB.job_id]
+        assert [write.key for write in front.store.applied_writes] == [JOB.job_id]
 
     run_virtually(main())
 
@@ -171,7 +171,7 @@
         front.source.is_down = True
         await asyncio.sleep(1.2)
         assert await front.submit() is ErrorKind.STORE_UNAVAILABLE
-        assert front.store.written == []
+        assert front.store.applied_writes == []
 
     run_virtually(main())
 
--- a/tests/test_cell_job_watch.py
+++ b/tests/test_cell_job_watch.py
@@ -19,7 +19,7 @@
         store.put(JOB_TABLE, "a", b"1")
         await asyncio.sleep(0.2)
         assert seen == ["a"]
-        store.loses_history = True
+        store.is_history_lost = True
         store.put(JOB_TABLE, "b", b"1")
         await asyncio.sleep(0.5)
         assert seen[-2:] == ["a", "b"]
--- a/tests/test_cell_peers.py
+++ b/tests/test_cell_peers.py
@@ -10,7 +10,7 @@
 from fuchsiadale.cell import peers
 from fuchsiadale.cell.peers import OwnerStanding, PeerClient, PeerHandler, serve_peers
 from fuchsiadale.decision.workflow.names import StepName
-from fuchsiadale.ports.task_workers import Advice, Advisor
+from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 STEP = StepName("0" * 16, 0, 1)
 ADDRESS = "127.0.0.1:0"
@@ -19,10 +19,10 @@
 """Seconds in which a server that counts keepalives closed the connection twice."""
 
 
-class SlowAdvisor(Advisor):
+class SlowAdvisor(AdviceClient):
     """Answers after a time that never comes in a test."""
 
-    async def ask(
+    async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
         """Wait."""
@@ -51,7 +51,7 @@
     standing = await client.sync("node", "1:1", 3, False)
     assert standing is not None
     assert standing.epoch == 3
-    pending = asyncio.create_task(client.ask(STEP, ("w",), 30.0))
+    pending = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
     await asyncio.sleep(0.1)
     await client.close()
     assert await pending is None
@@ -62,7 +62,7 @@
 
 async def test_call_that_is_cancelled_itself_stays_cancelled():
     server, client = await serve()
-    pending = asyncio.create_task(client.ask(STEP, ("w",), 30.0))
+    pending = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
     await asyncio.sleep(0.1)
     pending.cancel()
     outcome = await asyncio.gather(pending, return_exceptions=True)
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -17,24 +17,24 @@
 from fuchsiadale.decision.workflow.names import TaskName
 from fuchsiadale.ports.task_workers import (
     CallFailure,
-    LookRequest,
+    PollRequest,
     StartAnswer,
     StartRequest,
-    TaskWorkers,
     WorkerAddress,
+    WorkerClient,
 )
 from tests.virtual_loop import run_virtually
 
 
-class Worker(TaskWorkers):
+class Worker(WorkerClient):
     """A worker whose answers can be lost; it is given time by the virtual loop."""
 
     def __init__(self) -> None:
         self.is_mute = False
         self.waits_s: list[float] = []
 
-    async def look(
-        self, worker: WorkerAddress, request: LookRequest, timeout_s: float
+    async def poll(
+        self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
         """Answer after the time that the look may wait, or not at all."""
         self.waits_s.append(request.wait_s)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -20,11 +20,11 @@
 from fuchsiadale.platform.http import NoReply, Reply
 from fuchsiadale.platform.settings import read_cell_settings
 from fuchsiadale.platform.store import PlatformRowStore
-from fuchsiadale.platform.worker_api import PlatformWorkers
+from fuchsiadale.platform.worker_api import PlatformWorkerClient
 from fuchsiadale.ports.rows import RowCondition, RowWrite, StoreFailure
 from fuchsiadale.ports.task_workers import (
     CallFailure,
-    LookRequest,
+    PollRequest,
     StartRequest,
     WorkerAddress,
 )
@@ -181,7 +181,7 @@
     async def main() -> None:
         client = Client(reply)
         request = StartRequest(task(), 2, "text", "", "t", 486000, 7)
-        workers = PlatformWorkers(client)  # type: ignore[arg-type]
+        workers = PlatformWorkerClient(client)  # type: ignore[arg-type]
         answer = await workers.start(WORKER, request, 1.0)
         assert answer.outcome is outcome
         assert client.sent[0][3] == {"X-Fuchsiadale-Expect-Instance": "i-1"}
@@ -198,9 +198,9 @@
     }
 
     async def main() -> None:
-        workers = PlatformWorkers(Client(Reply(200, body)))  # type: ignore[arg-type]
-        request = LookRequest(486000, 7, 57, 1.0)
-        report = (await workers.look(WORKER, request, 2.0)).unwrap()
+        workers = PlatformWorkerClient(Client(Reply(200, body)))  # type: ignore[arg-type]
+        request = PollRequest(486000, 7, 57, 1.0)
+        report = (await workers.poll(WORKER, request, 2.0)).unwrap()
         assert report.started_ms == 17
         assert [(row.run, row.load) for row in report.running] == [(2, 900)]
         assert [end.kind for end in report.ended] == [EndKind.DONE]
@@ -209,8 +209,8 @@
             (Reply(421, {}), CallFailure.OTHER_BOOT),
             (NoReply(True, "timeout"), CallFailure.NO_ANSWER),
         ):
-            workers = PlatformWorkers(Client(reply))  # type: ignore[arg-type]
-            assert await workers.look(WORKER, request, 2.0) == Err(failure)
+            workers = PlatformWorkerClient(Client(reply))  # type: ignore[arg-type]
+            assert await workers.poll(WORKER, request, 2.0) == Err(failure)
 
     run_virtually(main())
 
