--- a/src/fuchsiadale/backend/__init__.py
+++ b/src/fuchsiadale/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the backend servers that run tasks."""
+"""Messages and clients of the backend servers, which run tasks on workers."""
--- a/src/fuchsiadale/backend/http.py
+++ b/src/fuchsiadale/backend/http.py
@@ -34,17 +34,17 @@
 
 
 class HttpBackendServer(BackendServer):
-    """A worker's backend server over HTTP.
+    """Client of a worker's backend server over HTTP.
 
-    A call that gets no answer in time takes its connection with it, so the next call
+    A call that gets no reply in time closes its connection, so that the next call
     opens a new one.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        The connections to all backend servers.
+        HTTP session shared by the clients of all backend servers.
     address : str
-        Base URL of this one.
+        Base URL of this backend server.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
@@ -52,28 +52,28 @@
         self._address = address.rstrip("/")
 
     async def adopt(self, order: AdoptOrder) -> Result[WorkerReport, CallFailure]:
-        """Become the worker's owner."""
-        return await self._report("/adopt", order, 0.0)
+        """Make the sender the worker's owner and return the worker's report."""
+        return await self._request_report("/adopt", order, 0.0)
 
     async def heartbeat(
         self, order: HeartbeatOrder
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the session and learn what ended."""
-        return await self._report("/heartbeat", order, order.hold_s)
+        """Renew the session and the task leases; return the worker's report."""
+        return await self._request_report("/heartbeat", order, order.hold_s)
 
     async def start(
         self, batch: StartBatch
     ) -> Result[Sequence[StartReply], CallFailure]:
-        """Start attempts."""
+        """Order the worker to start attempts; return one reply for each."""
         replies = await self._call("/start", batch, StartReplies, 0.0)
         return replies.map(lambda message: message.replies)
 
     async def stop(self, batch: StopBatch) -> Result[None, CallFailure]:
-        """End attempts; their ends are told by a later heartbeat."""
+        """Order the worker to end attempts; later heartbeats report their ends."""
         replies = await self._call("/stop", batch, StartReplies, 0.0)
         return replies.map(lambda _: None)
 
-    async def _report(
+    async def _request_report(
         self, path: str, order: object, hold_s: float
     ) -> Result[WorkerReport, CallFailure]:
         message = await self._call(path, order, ReportMessage, hold_s)
@@ -110,20 +110,20 @@
 
 
 class HttpBackendConnector(BackendConnector):
-    """Makes HTTP clients that share one pool of connections."""
+    """Creates HTTP clients that share one pool of connections."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     def connect(self, address: str) -> BackendServer:
-        """Return a client of the backend server at an address."""
+        """Return a client of the backend server with a base URL."""
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, limit_per_host=0)
             self._session = aiohttp.ClientSession(connector=connector)
         return HttpBackendServer(self._session, address)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
             self._session = None
--- a/src/fuchsiadale/backend/messages.py
+++ b/src/fuchsiadale/backend/messages.py
@@ -1,4 +1,4 @@
-"""Messages to and from backend servers."""
+"""Messages between partition owners and backend servers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @frozen
 class AdoptOrder:
-    """Makes the sender the worker's owner if its epoch is the highest."""
+    """Order that makes the sender the worker's owner if its epoch is the highest."""
 
     partition: str
     epoch: int
@@ -27,20 +27,20 @@
 
 @frozen
 class HeartbeatOrder:
-    """Renews the session and the leases of the worker's tasks.
+    """Order that renews the session and the leases of the worker's tasks.
 
     Attributes
     ----------
     epoch : int
-        The sender's epoch.
+        Epoch of the sender.
     echo_s : float
-        The last reading of the worker's clock that the sender received.
+        The last reading of the worker's clock that the sender received, in seconds.
     received_through : int
-        Number of the last end that the sender received.
+        Number of the last ended attempt whose report the sender received.
     acknowledged : list of str
-        Ended attempts that the worker may forget.
+        Ids of ended attempts that the worker may forget.
     hold_s : float
-        Seconds for which the worker may keep the call open while nothing ends.
+        How long the worker may delay its reply while no attempt ends, in seconds.
     """
 
     epoch: int
@@ -52,22 +52,22 @@
 
 @frozen
 class StartOrder:
-    """Starts one attempt.
+    """Order to start one attempt.
 
     Attributes
     ----------
     attempt_id : str
-        The attempt; a repeated start of one attempt has no effect.
+        Id of the attempt; starting the same attempt again has no effect.
     team : str
-        The team it runs for.
+        Team that the attempt runs for.
     resources : Resources
-        What it takes.
+        Resources that the attempt uses.
     program : str
-        Name of the program.
+        Name of the program to run.
     payload : bytes
-        Input of the program.
+        Input for the program.
     valid_until_s : float
-        Reading of the worker's clock after which the order has no effect.
+        Reading of the worker's clock, in seconds, after which the order is refused.
     """
 
     attempt_id: str
@@ -80,7 +80,7 @@
 
 @frozen
 class StartBatch:
-    """Starts several attempts on one worker."""
+    """Orders to start several attempts on one worker."""
 
     epoch: int
     orders: list[StartOrder]
@@ -88,7 +88,15 @@
 
 @frozen
 class StartReply:
-    """Tells of one start: None if the attempt runs or already ended."""
+    """Reply to one start order.
+
+    Attributes
+    ----------
+    attempt_id : str
+        Id of the attempt.
+    refusal : SessionRefusal or None
+        Why the start was refused; None if the attempt is running or has ended.
+    """
 
     attempt_id: str
     refusal: SessionRefusal | None
@@ -96,14 +104,22 @@
 
 @frozen
 class StartReplies:
-    """Answers a batch of starts, one by one."""
+    """Replies to a batch of start orders, one for each order."""
 
     replies: list[StartReply]
 
 
 @frozen
 class StopOrderMessage:
-    """Ends one attempt."""
+    """Order to end one attempt.
+
+    Attributes
+    ----------
+    attempt_id : str
+        Id of the attempt.
+    checkpoint : bool
+        Whether the worker first writes a checkpoint if the program supports it.
+    """
 
     attempt_id: str
     checkpoint: bool
@@ -111,7 +127,7 @@
 
 @frozen
 class StopBatch:
-    """Ends several attempts on one worker."""
+    """Orders to end several attempts on one worker."""
 
     epoch: int
     orders: list[StopOrderMessage]
@@ -119,7 +135,21 @@
 
 @frozen
 class EndMessage:
-    """An attempt's end, with the length and digest of its answer."""
+    """Report that an attempt ended.
+
+    Attributes
+    ----------
+    attempt_id : str
+        Id of the attempt.
+    end : AttemptEnd
+        How the attempt ended.
+    answer : bytes
+        What the program returned.
+    length : int
+        Length of the answer in bytes.
+    sha256 : str
+        SHA-256 digest of the answer, in hexadecimal.
+    """
 
     attempt_id: str
     end: AttemptEnd
@@ -130,7 +160,25 @@
 
 @frozen
 class ReportMessage:
-    """A worker's answer to an adoption or a heartbeat."""
+    """A worker's reply to an adoption or a heartbeat.
+
+    Attributes
+    ----------
+    clock_s : float
+        Reading of the worker's clock, in seconds.
+    boot_id : str
+        Id that changes whenever the worker loses its record of attempts.
+    leaving : bool
+        Whether the worker is about to leave.
+    ended_through : int
+        Number of the last ended attempt in this report.
+    usage : Resources
+        Resources that the worker's tasks use, as measured; none if not measured.
+    running : list of RunningAttempt
+        Attempts that are running.
+    ended : list of EndMessage
+        Attempts that have ended and are not yet acknowledged.
+    """
 
     clock_s: float
     boot_id: str
@@ -143,24 +191,27 @@
 
 @frozen
 class RefusalMessage:
-    """A worker's refusal of a whole call."""
+    """A worker's refusal of a call with all its orders."""
 
     refusal: SessionRefusal
 
 
 def make_end_message(attempt_id: str, end: AttemptEnd, answer: bytes) -> EndMessage:
-    """Return the message of an end, with the answer's length and digest."""
+    """Return the message that an attempt ended, with its answer and the digest."""
     digest = hashlib.sha256(answer).hexdigest()
     return EndMessage(attempt_id, end, answer, len(answer), digest)
 
 
 def validate_report(message: ReportMessage) -> Result[WorkerReport, str]:
-    """Return a report whose answers are whole, or what is wrong with one."""
+    """Return the report, or an error if an answer differs from its length or digest."""
     ended: list[EndedAttempt] = []
     for end in message.ended:
         digest = hashlib.sha256(end.answer).hexdigest()
         if len(end.answer) != end.length or digest != end.sha256:
-            return Err(f"answer of attempt {end.attempt_id} is not whole")
+            return Err(
+                f"the answer of attempt {end.attempt_id} does not match its length"
+                " and digest"
+            )
         ended.append(EndedAttempt(end.attempt_id, end.end, end.answer))
     report = WorkerReport(
         clock_s=message.clock_s,
--- a/src/fuchsiadale/backend/server.py
+++ b/src/fuchsiadale/backend/server.py
@@ -1,4 +1,4 @@
-"""A backend server as the owner of its partition sees it."""
+"""Interface through which a partition's owner calls backend servers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class CallFailure(Enum):
-    """Why a call to a backend server gave no result.
+    """Reason why a call to a backend server failed.
 
-    ``NOT_SENT`` means that the backend server never received it, ``UNKNOWN`` that it
-    may have.
+    ``STALE_EPOCH`` means that the backend server knows a higher epoch, ``NOT_SENT``
+    that it did not receive the call, ``UNKNOWN`` that it may have received the call,
+    and ``INVALID_ANSWER`` that its reply cannot be decoded.
     """
 
     STALE_EPOCH = "stale_epoch"
@@ -32,36 +33,36 @@
 
 
 class BackendServer(ABC):
-    """A client of one worker's backend server."""
+    """Sends orders and heartbeats to one worker's backend server."""
 
     @abstractmethod
     async def adopt(self, order: AdoptOrder) -> Result[WorkerReport, CallFailure]:
-        """Become the worker's owner."""
+        """Make the sender the worker's owner and return the worker's report."""
 
     @abstractmethod
     async def heartbeat(
         self, order: HeartbeatOrder
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the session and learn what ended."""
+        """Renew the session and the task leases; return the worker's report."""
 
     @abstractmethod
     async def start(
         self, batch: StartBatch
     ) -> Result[Sequence[StartReply], CallFailure]:
-        """Start attempts."""
+        """Order the worker to start attempts; return one reply for each."""
 
     @abstractmethod
     async def stop(self, batch: StopBatch) -> Result[None, CallFailure]:
-        """End attempts; their ends are told by a later heartbeat."""
+        """Order the worker to end attempts; later heartbeats report their ends."""
 
 
 class BackendConnector(ABC):
-    """Makes clients of backend servers."""
+    """Creates clients of backend servers."""
 
     @abstractmethod
     def connect(self, address: str) -> BackendServer:
-        """Return a client of the backend server at an address."""
+        """Return a client of the backend server with a base URL."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
--- a/src/fuchsiadale/platform/__init__.py
+++ b/src/fuchsiadale/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: names, formats and calls, no decisions."""
+"""Adapter to the users' platform: its names, formats and calls, but no decisions."""
--- a/src/fuchsiadale/platform/advice.py
+++ b/src/fuchsiadale/platform/advice.py
@@ -10,14 +10,14 @@
 
 
 class PlatformAdviceClient(AdviceClient):
-    """Asks the advice service over HTTP.
+    """Client of the advice service over HTTP.
 
     Parameters
     ----------
     client : HttpClient
-        Sends the calls.
+        HTTP client that sends the calls.
     address : str
-        ``ip:port`` of the service.
+        ``ip:port`` of the advice service.
     """
 
     def __init__(self, client: HttpClient, address: str) -> None:
@@ -27,15 +27,15 @@
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Return the tickets granted, or None without an answer."""
+        """Return the tickets for a step, or None if the service did not reply."""
         body = {"step": str(step), "workers": list(worker_ids)}
         reply = await self._client.call("POST", self._url, body, timeout_s=timeout_s)
         if isinstance(reply, NoReply) or reply.status != 200:
             return None
-        rows = reply.body.get("granted")
+        granted = reply.body.get("granted")
         tickets = {
             str(row[0]): str(row[1])
-            for row in (rows if isinstance(rows, list) else [])
+            for row in (granted if isinstance(granted, list) else [])
             if isinstance(row, list) and len(row) >= 2
         }
         valid_ms = reply.body.get("valid_ms")
--- a/src/fuchsiadale/platform/documents.py
+++ b/src/fuchsiadale/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decodes the documents that the operator and the workers keep in the store."""
+"""Decoders of configurations, worker registrations and submitted jobs."""
 
 from __future__ import annotations
 
@@ -27,13 +27,16 @@
 MS_PER_S = 1000.0
 
 MAX_TASKS_PER_JOB = 5_000
-"""Tasks of one job over all steps and occurrences; bounds what a caller can ask."""
+"""Maximum number of tasks of a job over all steps and occurrences.
 
-_STATES = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
+Limits the work that a caller can request with one job.
+"""
+
+_WORKER_STATES = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
 
 
 def decode_configuration(value: bytes) -> Result[CellConfiguration, str]:
-    """Return a configuration, or what is wrong with it."""
+    """Return the configuration in a JSON document, or why it is invalid."""
     try:
         document = orjson.loads(value)
         return Ok(
@@ -44,29 +47,33 @@
             )
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Err(f"invalid configuration: {error!r}")
+        return Err(f"the configuration is invalid: {error!r}")
 
 
 def decode_worker(worker_id: str, value: bytes) -> WorkerEntry | None:
-    """Return a worker's registration, or None if it names no worker to use."""
+    """Return the registration of a worker, or None if it is invalid."""
     try:
-        entry = orjson.loads(value)
-        state = _STATES[entry["state"]]
-        service, address, zone = entry["service"], entry["address"], entry["zone"]
+        registration = orjson.loads(value)
+        state = _WORKER_STATES[registration["state"]]
+        service, address, zone = (
+            registration["service"],
+            registration["address"],
+            registration["zone"],
+        )
         if not all(isinstance(text, str) for text in (service, address, zone)):
             return None
-        # "remaining_ms" is the least time until a draining worker leaves.
-        remaining_ms = entry.get("remaining_ms")
-        labels = entry.get("labels") or ()
+        # "remaining_ms" is the minimum time until a draining worker leaves.
+        remaining_ms = registration.get("remaining_ms")
+        labels = registration.get("labels") or ()
         return WorkerEntry(
             worker_id,
             service,
             address,
             zone,
             state,
-            _decode_resources(entry["capacity"]),
+            _decode_resources(registration["capacity"]),
             tuple(str(label) for label in labels),
-            int(entry.get("born") or 0),
+            int(registration.get("born") or 0),
             None if remaining_ms is None else float(remaining_ms) / MS_PER_S,
         )
     except (ValueError, KeyError, TypeError, AttributeError):
@@ -74,13 +81,13 @@
 
 
 def decode_job(value: bytes) -> Result[JobSpecification, str]:
-    """Return what a caller submitted, or what is wrong with it."""
+    """Return the specification of a submitted job, or why it is invalid."""
     try:
         body = orjson.loads(value)
         steps = tuple(_decode_step(item) for item in body["steps"])
         payload = body.get("spec", "")
         if not isinstance(payload, str):
-            return Err("the job's text is not a string")
+            return Err("the field 'spec' of the job must be a string")
         schedule = None
         if body.get("repetitions"):
             schedule = Schedule(
@@ -89,23 +96,23 @@
                 int(body["repetitions"]),
             )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Err(f"not a job: {error!r}")
+        return Err(f"the body is not a valid job: {error!r}")
     specification = JobSpecification(payload, steps, schedule)
-    problem = _problem_of(specification)
+    problem = _find_problem(specification)
     return Ok(specification) if problem is None else Err(problem)
 
 
-def _problem_of(specification: JobSpecification) -> str | None:
+def _find_problem(specification: JobSpecification) -> str | None:
     if not specification.steps:
-        return "the job has no steps"
+        return "the job has no steps; at least one is required"
     for index, step in enumerate(specification.steps):
         if step.count < 1:
-            return f"step {index} has no tasks"
-        if any(not 0 <= before < index for before in step.after):
-            return f"step {index} waits for a step that is not earlier"
+            return f"step {index} has {step.count} tasks; at least one is required"
+        if any(not 0 <= predecessor < index for predecessor in step.after):
+            return f"step {index} depends on a step that is not before it"
     tasks = sum(step.count for step in specification.steps)
     if tasks * specification.occurrences > MAX_TASKS_PER_JOB:
-        return f"the job has more than {MAX_TASKS_PER_JOB} tasks"
+        return f"the job has more tasks than the maximum of {MAX_TASKS_PER_JOB}"
     return None
 
 
@@ -134,7 +141,7 @@
 
 
 def _decode_workspace(item: dict[str, Any]) -> Workspace:
-    # "maximum" is what a workspace may run at once; 0 means no limit.
+    # "maximum" limits the resources that a workspace uses at once; 0 means no limit.
     maximum = item.get("maximum") or {}
     amounts = _decode_resources(maximum)
     limit = Resources(
--- a/src/fuchsiadale/platform/http.py
+++ b/src/fuchsiadale/platform/http.py
@@ -1,4 +1,4 @@
-"""One HTTP client for every service of the platform."""
+"""HTTP client that is shared by the clients of all platform services."""
 
 from __future__ import annotations
 
@@ -10,17 +10,25 @@
 from attrs import frozen
 
 KEEP_ALIVE_S = 12.0
-"""Seconds for which an idle connection is kept; below the platform's idle limit."""
+"""Seconds after which an idle connection is closed; below the platform's idle limit."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds to connect; a lost opening packet is sent again after one."""
+"""Connect timeout in seconds; TCP resends a lost SYN packet after one second."""
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 @frozen
 class Reply:
-    """An answer that arrived whole."""
+    """A reply that was received completely.
+
+    Attributes
+    ----------
+    status : int
+        Status code of the HTTP response.
+    body : dict
+        JSON object in the response body; empty if the body is anything else.
+    """
 
     status: int
     body: dict[str, Any]
@@ -28,14 +36,14 @@
 
 @frozen
 class NoReply:
-    """No whole answer arrived.
+    """Reports that no complete reply was received.
 
     Attributes
     ----------
     was_sent : bool
-        Whether the call may have been carried out.
+        Whether the request may have been sent, and so may have taken effect.
     reason : str
-        What was seen.
+        The error that ended the call.
     """
 
     was_sent: bool
@@ -43,14 +51,14 @@
 
 
 class HttpClient:
-    """Sends calls with JSON bodies; a call without an answer ends its connection."""
+    """Sends calls with JSON bodies; a call without a reply closes its connection."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """The session, opened at its first use."""
+        """The HTTP session, opened at its first use."""
         if self._session is None:
             connector = aiohttp.TCPConnector(
                 limit=0, keepalive_timeout=KEEP_ALIVE_S, force_close=False
@@ -68,20 +76,34 @@
         headers: Mapping[str, str] | None = None,
         timeout_s: float = 1.0,
     ) -> Reply | NoReply:
-        """Send a call and return its answer."""
+        """Send a request and return the reply.
+
+        Parameters
+        ----------
+        method : str
+            HTTP method.
+        url : str
+            URL to call.
+        body : dict, optional
+            JSON object to send.
+        headers : mapping of str to str, optional
+            Headers to send besides the content type.
+        timeout_s : float
+            Time allowed for the whole call, in seconds.
+        """
         data = None if body is None else orjson.dumps(body)
-        merged = dict(JSON_HEADERS) if body is not None else {}
+        all_headers = dict(JSON_HEADERS) if body is not None else {}
         if headers:
-            merged.update(headers)
+            all_headers.update(headers)
         timeout = aiohttp.ClientTimeout(
             total=timeout_s, sock_connect=min(CONNECT_TIMEOUT_S, timeout_s)
         )
         try:
             async with self.session.request(
-                method, url, data=data, headers=merged, timeout=timeout
+                method, url, data=data, headers=all_headers, timeout=timeout
             ) as response:
-                text = await response.read()
-                return Reply(response.status, _decode(text))
+                content = await response.read()
+                return Reply(response.status, _decode_json_object(content))
         except aiohttp.ClientConnectorError as error:
             return NoReply(False, repr(error))
         except (aiohttp.ConnectionTimeoutError, aiohttp.SocketTimeoutError) as error:
@@ -91,17 +113,17 @@
             return NoReply(True, repr(error))
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
 
-def _decode(text: bytes) -> dict[str, Any]:
-    """Return a JSON object, empty for anything else."""
-    if not text:
+def _decode_json_object(content: bytes) -> dict[str, Any]:
+    """Return the JSON object in a reply, or an empty one if it holds anything else."""
+    if not content:
         return {}
     try:
-        body = orjson.loads(text)
+        body = orjson.loads(content)
     except orjson.JSONDecodeError:
         return {}
     return body if isinstance(body, dict) else {}
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP interface on the platform."""
+"""HTTP interface through which callers reach a cell on the platform."""
 
 from __future__ import annotations
 
@@ -17,11 +17,14 @@
 
 API_KEY_HEADER = "X-Fuchsiadale-Credential"
 MAX_BODY_BYTES = 1 << 20
-"""Longest body taken, in bytes: four times the platform's own limit."""
+"""Maximum size of a request body in bytes: four times the platform's own limit.
+
+aiohttp's default limit, which enforces it, has the same value.
+"""
 
 READINESS_PATH = "/api/readiness"
 
-_STATES = {
+_STATE_NAMES = {
     JobState.QUEUED: "queued",
     JobState.RUNNING: "running",
     JobState.COMPLETED: "completed",
@@ -31,16 +34,17 @@
 
 
 class Ingress:
-    """Decodes callers' calls and encodes their answers.
+    """Decodes callers' requests, passes them to the gateway and encodes the replies.
 
     Parameters
     ----------
     gateway : Gateway
-        Answers them.
+        Carries out the requests.
     metrics : CellMetrics
-        Counts and times them.
+        Counts and times the requests.
     is_draining : callable
-        Tells whether connections should end with their answers.
+        Returns whether the process is stopping, so that connections are closed after
+        the reply.
     """
 
     def __init__(
@@ -51,14 +55,14 @@
         self._is_draining = is_draining
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Handle one request."""
         with self._metrics.call_seconds.time():
             outcome = await self._dispatch(request)
         if isinstance(outcome, Err):
             refusal = outcome.err_value
             answer = refusal.answer
             status = answer.http_status
-            response = _json({"error": refusal.message}, status)
+            response = _make_json_response({"error": refusal.message}, status)
             if answer.retry_after_s is not None:
                 response.headers["Retry-After"] = str(answer.retry_after_s)
             label = refusal.kind.value
@@ -70,7 +74,7 @@
                 detail=refusal.message,
             )
         else:
-            response = _json(outcome.ok_value, 200)
+            response = _make_json_response(outcome.ok_value, 200)
             label = "ok"
         self._metrics.calls.labels(request.method, label).inc()
         if self._is_draining():
@@ -94,26 +98,31 @@
                 counted = await gateway.count_pending(call)
                 return counted.map(lambda count: {"pending": count})
             shown = await gateway.show(call)
-            return shown.map(lambda state: {"state": _STATES[state]})
-        return Err(Refusal(ErrorKind.MALFORMED, f"method {request.method}"))
+            return shown.map(lambda state: {"state": _STATE_NAMES[state]})
+        return Err(
+            Refusal(
+                ErrorKind.MALFORMED,
+                f"method {request.method} is not supported; use GET, POST or DELETE",
+            )
+        )
 
 
 def make_readiness_handler(
     is_ready: Callable[[], bool],
 ) -> Callable[[web.BaseRequest], object]:
-    """Return the handler of the platform's readiness checks."""
+    """Return the HTTP handler of the platform's readiness checks."""
 
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
-        is_known = request.path == READINESS_PATH
-        if not is_known:
-            return _json({"error": "no such path"}, 404)
+    async def handle_check(request: web.BaseRequest) -> web.StreamResponse:
+        is_readiness_path = request.path == READINESS_PATH
+        if not is_readiness_path:
+            return _make_json_response({"error": "the path does not exist"}, 404)
         ready = is_ready()
-        return _json({"ready": ready}, 200 if ready else 503)
+        return _make_json_response({"ready": ready}, 200 if ready else 503)
 
-    return answer
+    return handle_check
 
 
-def _json(body: dict[str, object], status: int) -> web.Response:
+def _make_json_response(body: dict[str, object], status: int) -> web.Response:
     return web.Response(
         body=orjson.dumps(body), status=status, content_type="application/json"
     )
--- a/src/fuchsiadale/platform/main.py
+++ b/src/fuchsiadale/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts a process of a cell on the users' platform."""
+"""Runs one process of a cell on the users' platform."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 from fuchsiadale.platform.worker_api import PlatformWorkerClient
 
 INVALID_SETTINGS_EXIT_CODE = 3
-"""Exit code for settings that cannot be used, as documented for the command."""
+"""Exit code for missing or invalid settings, as documented for the command."""
 
 
 def main(path: Path | None = None) -> None:
-    """Read the settings and serve until told to stop."""
+    """Read the settings and run the process until it receives SIGTERM."""
     settings = read_cell_settings(path or get_settings_path())
     if isinstance(settings, Err):
         print(settings.err_value, file=sys.stderr)
@@ -51,7 +51,7 @@
 
 
 async def serve(settings: CellSettings) -> None:
-    """Run one process until SIGTERM."""
+    """Serve callers, peers, readiness checks and metrics until SIGTERM."""
     log = EventLog(settings.node)
     log.install()
     log_message("starting", ip=settings.ip, is_first_start=settings.is_first_start)
--- a/src/fuchsiadale/platform/registry.py
+++ b/src/fuchsiadale/platform/registry.py
@@ -1,4 +1,4 @@
-"""Reads what the operator and the workers keep in the store."""
+"""Reads worker registrations and the operator's configuration from the store."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class PlatformWorkerList(WorkerList):
-    """Reads the workers' registrations.
+    """Reads the registrations that workers keep in the store.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
         self._store = store
 
     async def read(self) -> Result[tuple[WorkerEntry, ...], StoreFailure]:
-        """Return every registration that names a worker to use."""
+        """Return all valid registrations."""
         entries: list[WorkerEntry] = []
         start = ""
         while True:
@@ -50,7 +50,7 @@
 
 
 class PlatformConfigurationSource(ConfigurationSource):
-    """Reads and watches the operator's configuration.
+    """Reads and watches the configuration that the operator keeps in the store.
 
     Parameters
     ----------
@@ -62,19 +62,19 @@
         self._store = store
 
     async def read(self) -> Result[ConfigurationReading, StoreFailure]:
-        """Return the configuration in force."""
+        """Return the configuration in force and the position to watch from."""
         page = await self._store.read(OPERATOR_TABLE, CONFIGURATION_KEY, 1)
-        return page.map(lambda found: _reading(found.rows, found.version))
+        return page.map(lambda result: _decode_reading(result.rows, result.version))
 
     async def watch(
         self, position: int, wait_s: float
     ) -> Result[ConfigurationReading, StoreFailure]:
-        """Wait for a newer configuration."""
+        """Wait at most `wait_s` seconds for a newer configuration."""
         changes = await self._store.watch(OPERATOR_TABLE, position, wait_s)
-        return changes.map(lambda found: _reading(found.rows, found.version))
+        return changes.map(lambda result: _decode_reading(result.rows, result.version))
 
 
-def _reading(rows: tuple[TableRow, ...], position: int) -> ConfigurationReading:
+def _decode_reading(rows: tuple[TableRow, ...], position: int) -> ConfigurationReading:
     configuration = None
     for row in rows:
         if row.key != CONFIGURATION_KEY or row.is_deleted:
--- a/src/fuchsiadale/platform/settings.py
+++ b/src/fuchsiadale/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings that the platform writes for a process."""
+"""Settings that the platform writes to a file for each process of a cell."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 @frozen
 class CellSettings:
-    """What a process of a cell learns from the platform.
+    """Settings of one process of a cell.
 
     Attributes
     ----------
     node : str
-        Name of the machine.
+        Name of the machine that the process runs on.
     ip : str
-        Its address.
+        IP address of the machine.
     callers_address : str
-        ``ip:port`` for callers.
+        ``ip:port`` on which the process listens for callers.
     readiness_address : str
-        ``ip:port`` for the platform's readiness checks.
+        ``ip:port`` on which the process listens for the platform's readiness checks.
     peer_port : int
-        Port for calls between the cell's processes.
+        Port on which the process listens for the other processes of the cell.
     store_address : str
         ``ip:port`` of the platform's store.
     advice_address : str
         ``ip:port`` of the advice service; empty if there is none.
     is_first_start : bool
-        Whether the whole system starts for the first time.
+        Whether this is the first start of the whole system.
     bounds : CellTerms
-        The deployment's bounds.
+        Time limits of the deployment.
     """
 
     node: str
@@ -53,16 +53,16 @@
 
 
 def get_settings_path() -> Path:
-    """Return where the platform writes the settings."""
+    """Return the path of the file to which the platform writes the settings."""
     return Path(os.environ.get(SETTINGS_PATH_VARIABLE, DEFAULT_SETTINGS_PATH))
 
 
 def read_cell_settings(path: Path) -> Result[CellSettings, str]:
-    """Return the settings in a file, or what is wrong with them."""
+    """Return the settings in a file, or why they cannot be used."""
     try:
         text = path.read_text()
     except OSError as error:
-        return Err(f"{path}: {error.strerror}")
+        return Err(f"{path}: the file cannot be read: {error.strerror}")
     fields: dict[str, str] = {}
     for line in text.splitlines():
         name, separator, value = line.partition("=")
@@ -71,9 +71,9 @@
     try:
         return Ok(_decode(fields))
     except KeyError as error:
-        return Err(f"{path}: {error.args[0]} is missing")
+        return Err(f"{path}: the setting {error.args[0]} is missing")
     except ValueError as error:
-        return Err(f"{path}: {error}")
+        return Err(f"{path}: a setting is invalid: {error}")
 
 
 def _decode(fields: dict[str, str]) -> CellSettings:
@@ -87,13 +87,13 @@
         advice_address=fields.get("advice", ""),
         is_first_start=fields.get("is_first_start") == "true",
         bounds=CellTerms(
-            max_lease_s=_seconds(fields, "bounds.hold_max_ms", 6000.0),
-            revocation_s=_seconds(fields, "bounds.revoke_ms", 5000.0),
+            max_lease_s=_read_seconds(fields, "bounds.hold_max_ms", 6000.0),
+            revocation_s=_read_seconds(fields, "bounds.revoke_ms", 5000.0),
             status_retention_s=float(fields.get("bounds.status_s", "120")),
             shutdown_grace_s=float(fields.get("bounds.grace_s", "6")),
         ),
     )
 
 
-def _seconds(fields: dict[str, str], name: str, default_ms: float) -> float:
+def _read_seconds(fields: dict[str, str], name: str, default_ms: float) -> float:
     return float(fields.get(name, default_ms)) / MS_PER_S
--- a/src/fuchsiadale/platform/store.py
+++ b/src/fuchsiadale/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store."""
+"""Client of the platform's row store."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     TableRow,
 )
 
-PART = ""
-"""The one part that every row is kept in; a transaction then needs no crossing."""
+STORE_PART = ""
+"""Part of the store that holds all rows, so that no transaction spans several parts."""
 
 WATCH_MARGIN_S = 1.0
-"""Seconds that the answer to a watch may take beyond its wait; a slow store's."""
+"""Seconds for which the reply to a watch may come late, as the store may be slow."""
 
 
 class PlatformRowStore(RowStore):
-    """Reads, writes and watches rows.
+    """Client of the row store over HTTP.
 
     Parameters
     ----------
     client : HttpClient
-        Sends the calls.
+        HTTP client that sends the calls.
     address : str
         ``ip:port`` of the store.
     """
@@ -47,54 +47,56 @@
         conditions: tuple[RowCondition, ...] = (),
         timeout_s: float = 1.0,
     ) -> Result[int, StoreFailure]:
-        """Apply all writes if every condition holds; return the new version."""
+        """Apply all writes if every condition holds; return the store's new version."""
         body = {
             "expected_revision": [
-                {**_row_id(item.table, item.key), "row_version": item.version}
+                {**_encode_row_id(item.table, item.key), "row_version": item.version}
                 for item in conditions
             ],
             "writes": [
                 {
-                    **_row_id(item.table, item.key),
+                    **_encode_row_id(item.table, item.key),
                     "value": b64encode(item.value).decode(),
                 }
                 for item in writes
                 if item.value is not None
             ],
             "remove": [
-                _row_id(item.table, item.key) for item in writes if item.value is None
+                _encode_row_id(item.table, item.key)
+                for item in writes
+                if item.value is None
             ],
         }
         reply = await self._client.call(
             "POST", f"{self._url}/api/rows-tx", body, timeout_s=timeout_s
         )
-        checked = _check(reply)
-        if isinstance(checked, Err):
-            return checked
-        version = checked.ok_value.get("row_version")
+        parsed = _parse_reply(reply)
+        if isinstance(parsed, Err):
+            return parsed
+        version = parsed.ok_value.get("row_version")
         return Ok(version) if isinstance(version, int) else Err(StoreFailure.UNKNOWN)
 
     async def read(
         self, table: str, start: str = "", limit: int = 500, timeout_s: float = 1.0
     ) -> Result[RowPage, StoreFailure]:
-        """Return rows of a table, in the order of their keys from `start` on."""
-        query = {"table": table, "part": PART, "limit": str(limit)}
+        """Return at most `limit` rows of a table, sorted by key, from `start` on."""
+        query = {"table": table, "part": STORE_PART, "limit": str(limit)}
         if start:
             query["from"] = start
         reply = await self._client.call(
             "GET", f"{self._url}/api/rows-get?{urlencode(query)}", timeout_s=timeout_s
         )
-        checked = _check(reply)
-        if isinstance(checked, Err):
-            return checked
-        body = checked.ok_value
+        parsed = _parse_reply(reply)
+        if isinstance(parsed, Err):
+            return parsed
+        body = parsed.ok_value
         rows = _decode_rows(body)
-        return Ok(RowPage(rows, bool(body.get("has_more")), _version(body)))
+        return Ok(RowPage(rows, bool(body.get("has_more")), _decode_version(body)))
 
     async def watch(
         self, table: str, after: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait for changes of a table after a version."""
+        """Wait at most `wait_s` seconds for changes of a table after a version."""
         query = {
             "table": table,
             "after": str(after),
@@ -105,18 +107,18 @@
             f"{self._url}/api/rows-feed?{urlencode(query)}",
             timeout_s=wait_s + WATCH_MARGIN_S,
         )
-        checked = _check(reply)
-        if isinstance(checked, Err):
-            return checked
-        body = checked.ok_value
-        return Ok(RowChanges(_decode_rows(body), max(_version(body), after)))
+        parsed = _parse_reply(reply)
+        if isinstance(parsed, Err):
+            return parsed
+        body = parsed.ok_value
+        return Ok(RowChanges(_decode_rows(body), max(_decode_version(body), after)))
 
 
-def _row_id(table: str, key: str) -> dict[str, Any]:
-    return {"table": table, "part": PART, "key": key}
+def _encode_row_id(table: str, key: str) -> dict[str, Any]:
+    return {"table": table, "part": STORE_PART, "key": key}
 
 
-def _check(reply: Reply | NoReply) -> Result[dict[str, Any], StoreFailure]:
+def _parse_reply(reply: Reply | NoReply) -> Result[dict[str, Any], StoreFailure]:
     if isinstance(reply, NoReply):
         failure = StoreFailure.UNKNOWN if reply.was_sent else StoreFailure.UNAVAILABLE
         return Err(failure)
@@ -129,7 +131,7 @@
     return Err(StoreFailure.UNAVAILABLE)
 
 
-def _version(body: dict[str, Any]) -> int:
+def _decode_version(body: dict[str, Any]) -> int:
     version = body.get("row_version")
     return version if isinstance(version, int) else 0
 
@@ -143,7 +145,7 @@
 
 
 def _decode_row(row: dict[str, Any]) -> TableRow | None:
-    """Return a row, or None if it has no key or its content is no base64."""
+    """Return a row, or None if it has no table or key or its value is not base64."""
     table, key, text = row.get("table"), row.get("key"), row.get("value", "")
     version = row.get("row_version")
     if not isinstance(table, str) or not isinstance(key, str):
--- a/src/fuchsiadale/platform/worker_api.py
+++ b/src/fuchsiadale/platform/worker_api.py
@@ -1,4 +1,4 @@
-"""Client of the platform's workers."""
+"""Client of the interface of the platform's workers."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     WorkerClient,
 )
 
-EXPECT_INSTANCE = "X-Fuchsiadale-Expect-Instance"
+EXPECTED_INSTANCE_HEADER = "X-Fuchsiadale-Expect-Instance"
 
-_REFUSALS = {
+_REFUSAL_OUTCOMES = {
     "fence": StartOutcome.FENCED,
     "old": StartOutcome.STALE_RUN,
     "late": StartOutcome.EXPIRED,
@@ -45,12 +45,12 @@
 
 
 class PlatformWorkerClient(WorkerClient):
-    """Calls workers over HTTP.
+    """Client of workers over HTTP.
 
     Parameters
     ----------
     client : HttpClient
-        Sends the calls.
+        HTTP client that sends the calls.
     """
 
     def __init__(self, client: HttpClient) -> None:
@@ -59,7 +59,7 @@
     async def start(
         self, worker: WorkerAddress, request: StartRequest, timeout_s: float
     ) -> StartAnswer:
-        """Start a run."""
+        """Order a worker to start a run."""
         body: dict[str, Any] = {
             "task": str(request.task),
             "run": request.run,
@@ -76,7 +76,7 @@
             if reply.was_sent:
                 return StartAnswer(StartOutcome.UNKNOWN)
             return StartAnswer(StartOutcome.UNHEALTHY)
-        return StartAnswer(_start_outcome(reply), _clock(reply.body))
+        return StartAnswer(_decode_start_outcome(reply), _decode_clock_ms(reply.body))
 
     async def stop(
         self,
@@ -86,9 +86,9 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Stop a run; its end is reported later."""
+        """Order a worker to stop a run; a later poll reports that it ended."""
         body = {"task": str(task), "run": run, "fencing_token": fencing_token}
-        return _done(await self._call(worker, "run-stop", body, timeout_s))
+        return _discard_body(await self._call(worker, "run-stop", body, timeout_s))
 
     async def set_pace(
         self,
@@ -99,19 +99,19 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Let a run work at a share of its speed."""
+        """Order a worker to limit a run to a percentage of its full speed."""
         body = {
             "task": str(task),
             "run": run,
             "percent": percent,
             "fencing_token": fencing_token,
         }
-        return _done(await self._call(worker, "pace", body, timeout_s))
+        return _discard_body(await self._call(worker, "pace", body, timeout_s))
 
     async def poll(
         self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the lease and return what runs and what ended."""
+        """Renew the leases on a worker; return its running and its ended runs."""
         body: dict[str, Any] = {
             "fencing_token": request.fencing_token,
             "acked_through": request.acknowledged_through,
@@ -120,27 +120,31 @@
         if request.lease_end_ms is not None:
             body["until_ms"] = request.lease_end_ms
         reply = await self._call(worker, "hold", body, timeout_s)
-        checked = _check(reply)
-        return checked.map(_decode_report)
+        parsed = _parse_reply(reply)
+        return parsed.map(_decode_report)
 
     async def _call(
-        self, worker: WorkerAddress, call: str, body: dict[str, Any], timeout_s: float
+        self,
+        worker: WorkerAddress,
+        endpoint: str,
+        body: dict[str, Any],
+        timeout_s: float,
     ) -> Reply | NoReply:
         return await self._client.call(
             "POST",
-            f"http://{worker.address}/api/{call}",
+            f"http://{worker.address}/api/{endpoint}",
             body,
-            headers={EXPECT_INSTANCE: worker.worker_id},
+            headers={EXPECTED_INSTANCE_HEADER: worker.worker_id},
             timeout_s=timeout_s,
         )
 
 
-def _start_outcome(reply: Reply) -> StartOutcome:
+def _decode_start_outcome(reply: Reply) -> StartOutcome:
     if reply.status == 200:
         return StartOutcome.STARTED
     if reply.status == 409:
         reason = reply.body.get("reason")
-        return _REFUSALS.get(str(reason), StartOutcome.INVALID)
+        return _REFUSAL_OUTCOMES.get(str(reason), StartOutcome.INVALID)
     if reply.status == 421:
         return StartOutcome.OTHER_BOOT
     if reply.status in (429, 503):
@@ -150,7 +154,7 @@
     return StartOutcome.UNKNOWN
 
 
-def _check(reply: Reply | NoReply) -> Result[dict[str, Any], CallFailure]:
+def _parse_reply(reply: Reply | NoReply) -> Result[dict[str, Any], CallFailure]:
     if isinstance(reply, NoReply):
         return Err(CallFailure.NO_ANSWER)
     if reply.status == 200:
@@ -162,27 +166,27 @@
     return Err(CallFailure.REFUSED)
 
 
-def _done(reply: Reply | NoReply) -> Result[None, CallFailure]:
-    return _check(reply).map(lambda body: None)
+def _discard_body(reply: Reply | NoReply) -> Result[None, CallFailure]:
+    return _parse_reply(reply).map(lambda body: None)
 
 
-def _clock(body: dict[str, Any]) -> int | None:
+def _decode_clock_ms(body: dict[str, Any]) -> int | None:
     clock_ms = body.get("clock_ms")
     return int(clock_ms) if isinstance(clock_ms, int | float) else None
 
 
 def _decode_report(body: dict[str, Any]) -> WorkerReport:
-    # "born" is the start of the worker's present life.
+    # "born" is the time at which the worker's present incarnation started.
     started_ms = body.get("born")
     return WorkerReport(
         started_ms if isinstance(started_ms, int) else 0,
-        _clock(body) or 0,
-        tuple(row for row in map(_decode_running, _rows(body, "running")) if row),
-        tuple(row for row in map(_decode_ended, _rows(body, "finished")) if row),
+        _decode_clock_ms(body) or 0,
+        tuple(row for row in map(_decode_running, _get_rows(body, "running")) if row),
+        tuple(row for row in map(_decode_ended, _get_rows(body, "finished")) if row),
     )
 
 
-def _rows(body: dict[str, Any], name: str) -> list[list[Any]]:
+def _get_rows(body: dict[str, Any], name: str) -> list[list[Any]]:
     rows = body.get(name)
     return [row for row in rows if isinstance(row, list)] if rows else []
 
--- a/src/fuchsiadale/ports/__init__.py
+++ b/src/fuchsiadale/ports/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's table service, object store and host list."""
+"""Interfaces of the platform's services, and HTTP clients of some of them."""
--- a/src/fuchsiadale/ports/configuration_source.py
+++ b/src/fuchsiadale/ports/configuration_source.py
@@ -1,4 +1,4 @@
-"""Where the configuration comes from."""
+"""Interface through which a cell reads and watches its configuration."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @frozen
 class ConfigurationReading:
-    """What a reading brought.
+    """Result of one read or one watch of the configuration.
 
     Attributes
     ----------
     configuration : CellConfiguration or None
-        The configuration, if the reading brought one.
+        The newest valid configuration received; None if none was received.
     position : int
-        Where to go on from.
+        Version of the store after which the next watch continues.
     """
 
     configuration: CellConfiguration | None
@@ -28,14 +28,22 @@
 
 
 class ConfigurationSource(ABC):
-    """Reads and watches the configuration."""
+    """Reads the configuration in force and waits for newer ones."""
 
     @abstractmethod
     async def read(self) -> Result[ConfigurationReading, StoreFailure]:
-        """Return the configuration in force."""
+        """Return the configuration in force and the position to watch from."""
 
     @abstractmethod
     async def watch(
         self, position: int, wait_s: float
     ) -> Result[ConfigurationReading, StoreFailure]:
-        """Wait for a newer configuration."""
+        """Wait for a newer configuration.
+
+        Parameters
+        ----------
+        position : int
+            Position returned by the last read or watch.
+        wait_s : float
+            How long the store waits for a change before it replies, in seconds.
+        """
--- a/src/fuchsiadale/ports/hosts.py
+++ b/src/fuchsiadale/ports/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving workers."""
+"""Interface of the host list: the platform's delayed list of workers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 @frozen
 class HostListing:
-    """One reading of the host list.
+    """Reply of the host list to one request.
 
     Attributes
     ----------
     version : int
-        Grows with every change of the list.
+        Version of the list; increases with every change of the list.
     workers : tuple of WorkerInfo or None
-        The workers; None if the list has not changed since the version asked for.
+        The live and leaving workers; None if the list still has the version that the
+        request gave as known.
     """
 
     version: int
@@ -27,8 +28,8 @@
 
 
 class HostList(ABC):
-    """A client of the host list."""
+    """Fetches the list of live and leaving workers from the platform."""
 
     @abstractmethod
     async def fetch(self, known_version: int) -> Result[HostListing, str]:
-        """Return the list, without workers if `known_version` is the present one."""
+        """Return the list, without workers if its version is `known_version`."""
--- a/src/fuchsiadale/ports/http.py
+++ b/src/fuchsiadale/ports/http.py
@@ -1,4 +1,4 @@
-"""HTTP clients of the platform."""
+"""HTTP clients of the platform's table service, object store and host list."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 PLATFORM_TIMEOUT_S = 2.0
 _HEADERS = {"Content-Type": CONTENT_TYPE}
-_FAILURES = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
+_CONNECTION_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 @frozen
 class ReadRequest:
-    """Asks for one row."""
+    """Request for the row with a key."""
 
     key: str
 
 
 @frozen
 class ReadReply:
-    """Holds the row, if it exists."""
+    """Reply to a `ReadRequest`: the row, or None if it does not exist."""
 
     row: Row | None
 
 
 @frozen
 class ScanRequest:
-    """Asks for the rows under a prefix."""
+    """Request for the rows whose keys begin with a prefix, from `start` on."""
 
     prefix: str
     start: str
@@ -52,25 +52,25 @@
 
 @frozen
 class ScanReply:
-    """Holds the rows in order of their keys."""
+    """Reply to a `ScanRequest`: the rows, sorted by key."""
 
     rows: list[Row]
 
 
 @frozen
 class TransactReply:
-    """Holds the version committed, or None for a conflict."""
+    """Reply to a transaction: the committed version, or None for a conflict."""
 
     version: int | None
 
 
 class PlatformSession:
-    """The connections of one process to the platform.
+    """Pool of HTTP connections from this process to the platform.
 
     Parameters
     ----------
     base_url : str
-        Where the platform listens.
+        Base URL of the platform.
     """
 
     def __init__(self, base_url: str) -> None:
@@ -79,25 +79,25 @@
 
     @property
     def http(self) -> aiohttp.ClientSession:
-        """The HTTP session, opened at first use inside the loop."""
+        """The HTTP session, opened at its first use because it needs a running loop."""
         if self._session is None:
             timeout = aiohttp.ClientTimeout(total=PLATFORM_TIMEOUT_S)
             self._session = aiohttp.ClientSession(timeout=timeout)
         return self._session
 
     def url(self, path: str) -> str:
-        """Return the address of a path."""
+        """Return the URL of a path on the platform."""
         return self._base_url + path
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
 
 class HttpTable(TableService):
-    """The table service over HTTP."""
+    """Client of the table service over HTTP."""
 
     def __init__(self, session: PlatformSession) -> None:
         self._session = session
@@ -112,7 +112,7 @@
     async def scan(
         self, prefix: str, start: str = ""
     ) -> Result[Sequence[Row], TableFailure]:
-        """Return the rows whose keys begin with `prefix`, from `start` on."""
+        """Return the rows whose keys begin with `prefix`, from key `start` on."""
         reply = await self._call("/table/scan", ScanRequest(prefix, start), ScanReply)
         if isinstance(reply, Err):
             return Err(TableFailure.UNAVAILABLE)
@@ -121,7 +121,7 @@
     async def transact(
         self, transaction: Transaction
     ) -> Result[Committed, TableFailure]:
-        """Apply a transaction."""
+        """Apply all writes of a transaction if every condition holds."""
         reply = await self._call("/table/transact", transaction, TransactReply)
         if isinstance(reply, Err):
             return reply
@@ -142,7 +142,7 @@
                 status = response.status
         except aiohttp.ClientConnectorError:
             return Err(TableFailure.UNAVAILABLE)
-        except _FAILURES:
+        except _CONNECTION_ERRORS:
             return Err(TableFailure.UNKNOWN)
         if status == 503:
             return Err(TableFailure.UNAVAILABLE)
@@ -153,22 +153,22 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """The object store over HTTP."""
+    """Client of the object store over HTTP."""
 
     def __init__(self, session: PlatformSession) -> None:
         self._session = session
 
     async def put(self, name: str, body: bytes) -> Result[None, ObjectFailure]:
-        """Write an object."""
+        """Write an object under a name."""
         result = await self._call("PUT", name, body)
         return result.map(lambda _: None)
 
     async def get(self, name: str) -> Result[bytes, ObjectFailure]:
-        """Read an object."""
+        """Return the content of an object."""
         return await self._call("GET", name, b"")
 
     async def delete(self, name: str) -> Result[None, ObjectFailure]:
-        """Remove an object; removing one that does not exist succeeds."""
+        """Delete an object; deleting one that does not exist succeeds."""
         result = await self._call("DELETE", name, b"")
         return result.map(lambda _: None)
 
@@ -178,32 +178,32 @@
         url = self._session.url(f"/objects/{name}")
         try:
             async with self._session.http.request(method, url, data=body) as response:
-                answer = await response.read()
+                content = await response.read()
                 status = response.status
-        except _FAILURES:
+        except _CONNECTION_ERRORS:
             return Err(ObjectFailure.UNAVAILABLE)
         if status == 404:
             return Err(ObjectFailure.NOT_FOUND)
         if status >= 300:
             return Err(ObjectFailure.UNAVAILABLE)
-        return Ok(answer)
+        return Ok(content)
 
 
 class HttpHostList(HostList):
-    """The host list over HTTP."""
+    """Client of the host list over HTTP."""
 
     def __init__(self, session: PlatformSession) -> None:
         self._session = session
 
     async def fetch(self, known_version: int) -> Result[HostListing, str]:
-        """Return the list, without workers if `known_version` is the present one."""
+        """Return the list, without workers if its version is `known_version`."""
         url = self._session.url(f"/hosts?known_version={known_version}")
         try:
             async with self._session.http.get(url) as response:
                 body = await response.read()
                 status = response.status
-        except _FAILURES as error:
-            return Err(f"host list not reached: {error}")
+        except _CONNECTION_ERRORS as error:
+            return Err(f"the host list cannot be reached: {error}")
         if status != 200:
-            return Err(f"host list answered with status {status}")
+            return Err(f"the host list replied with status {status}, expected 200")
         return decode(body, HostListing)
--- a/src/fuchsiadale/ports/objects.py
+++ b/src/fuchsiadale/ports/objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store."""
+"""Interface of the platform's object store."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class ObjectFailure(Enum):
-    """Why an object could not be read or written."""
+    """Reason why an object could not be read, written or deleted."""
 
     NOT_FOUND = "not_found"
     UNAVAILABLE = "unavailable"
 
 
 class ObjectStore(ABC):
-    """A client of the object store. Objects are written once, under unique names."""
+    """Stores objects; each is written once, under a name that is never reused."""
 
     @abstractmethod
     async def put(self, name: str, body: bytes) -> Result[None, ObjectFailure]:
-        """Write an object."""
+        """Write an object under a name."""
 
     @abstractmethod
     async def get(self, name: str) -> Result[bytes, ObjectFailure]:
-        """Read an object."""
+        """Return the content of an object."""
 
     @abstractmethod
     async def delete(self, name: str) -> Result[None, ObjectFailure]:
-        """Remove an object; removing one that does not exist succeeds."""
+        """Delete an object; deleting one that does not exist succeeds."""
--- a/src/fuchsiadale/ports/observed_table.py
+++ b/src/fuchsiadale/ports/observed_table.py
@@ -1,4 +1,4 @@
-"""A table client that remembers whether the store answers."""
+"""A table client that counts calls and records whether the store is reachable."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 
 
 class ObservedTable(TableService):
-    """Passes calls on, counts them and remembers how the last one ended.
+    """Forwards calls to another client and counts them by operation and failure.
 
     Parameters
     ----------
     table : TableService
-        The client that makes the calls.
+        Client that sends the calls to the table service.
     counters : Counters
-        Takes the counts.
+        Counters that the calls are added to.
     """
 
     def __init__(self, table: TableService, counters: Counters) -> None:
         self._table = table
         self._counters = counters
-        self._failing = False
+        self._is_failing = False
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last call got no answer from the store."""
-        return self._failing
+        """Whether the last call failed for a reason other than a conflict."""
+        return self._is_failing
 
     async def read(self, key: str) -> Result[Row | None, TableFailure]:
         """Return a row, or None if it does not exist."""
-        return self._note("read", await self._table.read(key))
+        return self._record_outcome("read", await self._table.read(key))
 
     async def scan(
         self, prefix: str, start: str = ""
     ) -> Result[Sequence[Row], TableFailure]:
-        """Return the rows whose keys begin with `prefix`, from `start` on."""
-        return self._note("scan", await self._table.scan(prefix, start))
+        """Return the rows whose keys begin with `prefix`, from key `start` on."""
+        return self._record_outcome("scan", await self._table.scan(prefix, start))
 
     async def transact(
         self, transaction: Transaction
     ) -> Result[Committed, TableFailure]:
-        """Apply a transaction."""
-        return self._note("transact", await self._table.transact(transaction))
+        """Apply all writes of a transaction if every condition holds."""
+        return self._record_outcome("transact", await self._table.transact(transaction))
 
-    def _note(
+    def _record_outcome(
         self, operation: str, outcome: Result[T, TableFailure]
     ) -> Result[T, TableFailure]:
         self._counters.add(f"table.{operation}")
-        self._failing = (
+        self._is_failing = (
             isinstance(outcome, Err) and outcome.err_value is not TableFailure.CONFLICT
         )
         if isinstance(outcome, Err):
--- a/src/fuchsiadale/ports/rows.py
+++ b/src/fuchsiadale/ports/rows.py
@@ -1,4 +1,4 @@
-"""A store of rows in tables, with conditional transactions and change feeds."""
+"""Interface of a row store with tables, conditional transactions and change feeds."""
 
 from __future__ import annotations
 
@@ -10,9 +10,13 @@
 
 
 class StoreFailure(Enum):
-    """Why a call to the store gave no result.
+    """Reason why a call to the store failed.
 
-    ``UNKNOWN`` means that a transaction may have taken effect, or may still do so.
+    ``CONFLICT`` means that a condition of the transaction does not hold.
+    ``UNAVAILABLE`` means that the store cannot be reached or refuses the call.
+    ``UNKNOWN`` means that the transaction may have been applied, or may still be.
+    ``HISTORY_LOST`` means that the store no longer has the changes after the version
+    given to `RowStore.watch`, so that the table must be read again.
     """
 
     CONFLICT = "conflict"
@@ -23,20 +27,21 @@
 
 @frozen
 class TableRow:
-    """One row.
+    """A row, or its removal in a change feed.
 
     Attributes
     ----------
     table : str
-        Its table.
+        Table that the row belongs to.
     key : str
-        Its key.
+        Key of the row, unique in its table.
     value : bytes
-        The content; empty if deleted.
+        Content of the row; empty if it is deleted.
     version : int
-        Grows with every transaction on the store.
+        Version of the store that the last change of the row led to; increases with
+        every transaction on the store.
     is_deleted : bool
-        Whether a feed reports its removal.
+        Whether this is a removal of the row, reported by a change feed.
     """
 
     table: str
@@ -48,7 +53,7 @@
 
 @frozen
 class RowCondition:
-    """A row must have this version; 0 if it must not exist."""
+    """Requires that a row has this version, or does not exist if `version` is 0."""
 
     table: str
     key: str
@@ -57,7 +62,7 @@
 
 @frozen
 class RowWrite:
-    """A row's new content; None removes the row."""
+    """Sets the content of a row, or removes the row if `value` is None."""
 
     table: str
     key: str
@@ -66,7 +71,7 @@
 
 @frozen
 class RowPage:
-    """Rows as of one moment, and whether there are more."""
+    """Rows of a table at one version of the store, and whether more follow."""
 
     rows: tuple[TableRow, ...]
     has_more: bool
@@ -75,14 +80,14 @@
 
 @frozen
 class RowChanges:
-    """Changed rows in order, and the version to go on from."""
+    """Changed rows in order of their versions, and the version to watch from next."""
 
     rows: tuple[TableRow, ...]
     version: int
 
 
 class RowStore(ABC):
-    """A client of the store."""
+    """Reads, writes and watches rows."""
 
     @abstractmethod
     async def transact(
@@ -91,16 +96,16 @@
         conditions: tuple[RowCondition, ...] = (),
         timeout_s: float = 1.0,
     ) -> Result[int, StoreFailure]:
-        """Apply all writes if every condition holds; return the new version."""
+        """Apply all writes if every condition holds; return the store's new version."""
 
     @abstractmethod
     async def read(
         self, table: str, start: str = "", limit: int = 500, timeout_s: float = 1.0
     ) -> Result[RowPage, StoreFailure]:
-        """Return rows of a table, in the order of their keys from `start` on."""
+        """Return at most `limit` rows of a table, sorted by key, from `start` on."""
 
     @abstractmethod
     async def watch(
         self, table: str, after: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait for changes of a table after a version."""
+        """Wait at most `wait_s` seconds for changes of a table after a version."""
--- a/src/fuchsiadale/ports/table.py
+++ b/src/fuchsiadale/ports/table.py
@@ -1,4 +1,4 @@
-"""The platform's transactional table service."""
+"""Interface of the platform's transactional table service."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @frozen
 class Row:
-    """One row of the table.
+    """A row of the table.
 
     Attributes
     ----------
     key : str
-        The row's key.
+        Key of the row.
     version : int
         Increases with every change of the row; `ABSENT_VERSION` if the row does not
         exist.
     value : bytes
-        The content.
+        Content of the row.
     nonce : str
-        The nonce of the transaction that wrote it.
+        Nonce of the transaction that last wrote the row.
     """
 
     key: str
@@ -38,7 +38,7 @@
 
 @frozen
 class Condition:
-    """A row must still have this version; `ABSENT_VERSION` if it must not exist."""
+    """Requires that a row has this version; `ABSENT_VERSION`: it does not exist."""
 
     key: str
     version: int
@@ -46,7 +46,7 @@
 
 @frozen
 class Write:
-    """A row's new content; None deletes the row."""
+    """Sets the content of a row, or deletes the row if `value` is None."""
 
     key: str
     value: bytes | None
@@ -54,16 +54,17 @@
 
 @frozen
 class Transaction:
-    """Writes that take effect together if every condition holds.
+    """Writes that are applied atomically if every condition holds.
 
     Attributes
     ----------
     writes : tuple of Write
-        What to write.
+        The writes.
     conditions : tuple of Condition
-        What must hold.
+        Versions that rows must have for the writes to be applied.
     nonce : str
-        Marks the rows written, so that a lost answer can be made good by reading.
+        Unique id stored with the written rows; reading one of them back shows whether
+        the transaction was applied if its reply was lost.
     """
 
     writes: tuple[Write, ...]
@@ -73,15 +74,17 @@
 
 @frozen
 class Committed:
-    """A transaction took effect; its rows now have this version."""
+    """Reports that a transaction was applied and gave its rows this version."""
 
     version: int
 
 
 class TableFailure(Enum):
-    """Why an operation gave no result.
+    """Reason why an operation failed.
 
-    ``UNKNOWN`` means that a transaction may have taken effect.
+    ``CONFLICT`` means that a condition of the transaction does not hold.
+    ``UNAVAILABLE`` means that the service cannot be reached or refuses the call.
+    ``UNKNOWN`` means that the transaction may have been applied.
     """
 
     CONFLICT = "conflict"
@@ -90,7 +93,7 @@
 
 
 class TableService(ABC):
-    """A client of the table service."""
+    """Reads and writes the rows of the table."""
 
     @abstractmethod
     async def read(self, key: str) -> Result[Row | None, TableFailure]:
@@ -100,37 +103,37 @@
     async def scan(
         self, prefix: str, start: str = ""
     ) -> Result[Sequence[Row], TableFailure]:
-        """Return the rows whose keys begin with `prefix`, from `start` on."""
+        """Return the rows whose keys begin with `prefix`, from key `start` on."""
 
     @abstractmethod
     async def transact(
         self, transaction: Transaction
     ) -> Result[Committed, TableFailure]:
-        """Apply a transaction."""
+        """Apply all writes of a transaction if every condition holds."""
 
 
 async def transact_with_readback(
     table: TableService, transaction: Transaction
 ) -> Result[Committed, TableFailure]:
-    """Apply a transaction, and read it back if its answer was lost.
+    """Apply a transaction; if its outcome is unknown, read back whether it was applied.
 
-    The first row that the transaction writes (and does not delete) tells whether it
-    took effect: it then carries the transaction's nonce.
+    The first row that the transaction writes and does not delete is read: if the
+    transaction was applied, that row has the transaction's nonce.
 
     Returns
     -------
     Result
-        ``CONFLICT`` also if the row was read back with another nonce, since another
-        writer's row is then in place; ``UNKNOWN`` if it could not be read either.
+        ``CONFLICT`` also if the row does not exist or has another nonce, since the
+        state is then that of another writer; ``UNKNOWN`` if it cannot be read either.
     """
     outcome = await table.transact(transaction)
     if not (isinstance(outcome, Err) and outcome.err_value is TableFailure.UNKNOWN):
         return outcome
-    witness = next(w.key for w in transaction.writes if w.value is not None)
-    found = await table.read(witness)
-    if isinstance(found, Err):
+    probe_key = next(w.key for w in transaction.writes if w.value is not None)
+    read_back = await table.read(probe_key)
+    if isinstance(read_back, Err):
         return Err(TableFailure.UNKNOWN)
-    row = found.ok_value
+    row = read_back.ok_value
     if row is not None and row.nonce == transaction.nonce:
         return Ok(Committed(row.version))
     return Err(TableFailure.CONFLICT)
--- a/src/fuchsiadale/ports/task_workers.py
+++ b/src/fuchsiadale/ports/task_workers.py
@@ -1,4 +1,4 @@
-"""Clients of the workers that run tasks, and of the service that advises on them."""
+"""Interfaces of the workers that run tasks and of the advice service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 @frozen
 class WorkerAddress:
-    """Where a worker listens, and which life of it is meant."""
+    """Address of a worker and the id of the worker that is expected there.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker; a worker with another id at the address refuses the calls.
+    address : str
+        ``ip:port`` of the worker.
+    """
 
     worker_id: str
     address: str
@@ -22,24 +30,25 @@
 
 @frozen
 class StartRequest:
-    """What a worker needs to start a run.
+    """Request to a worker to start a run of a task.
 
     Attributes
     ----------
     task : TaskName
-        The task.
+        Task to run.
     run : int
         Number of the run.
     payload : str
-        The caller's text.
+        Text that the caller submitted with the job.
     checkpoint : str
-        Where to resume; empty for the beginning.
+        Checkpoint to resume from; empty to start from the beginning.
     ticket : str
-        Leave to run the step there; empty if none is needed.
+        Permission of the advice service to run the step on this worker; empty if the
+        queue needs none.
     lease_end_ms : int
-        When the lease ends, on the worker's clock.
+        Reading of the worker's clock at which the lease of the run ends, in ms.
     fencing_token : int
-        The owner's token.
+        Fencing token of the owner that sends the request.
     """
 
     task: TaskName
@@ -53,7 +62,15 @@
 
 @frozen
 class StartAnswer:
-    """What became of a start, and the worker's clock if it answered."""
+    """Outcome of a request to start a run.
+
+    Attributes
+    ----------
+    outcome : StartOutcome
+        Whether the run was started, or why not.
+    clock_ms : int or None
+        Reading of the worker's clock, in ms; None if the worker sent no reading.
+    """
 
     outcome: StartOutcome
     clock_ms: int | None = None
@@ -61,18 +78,20 @@
 
 @frozen
 class PollRequest:
-    """Renews the lease of everything on a worker and asks what is there.
+    """Request to a worker to renew all leases and to report its runs.
 
     Attributes
     ----------
     lease_end_ms : int or None
-        When the lease ends, on the worker's clock; None to leave it as it is.
+        Reading of the worker's clock at which the leases end, in ms; None to leave
+        them unchanged.
     fencing_token : int
-        The owner's token.
+        Fencing token of the owner that sends the request.
     acknowledged_through : int
-        Ends up to this number may be forgotten.
+        Number of the last ended run that the owner has recorded; the worker may
+        forget that end and all earlier ones.
     wait_s : float
-        How long the worker may wait for an end before it answers, in seconds.
+        How long the worker may wait for a run to end before it replies, in seconds.
     """
 
     lease_end_ms: int | None
@@ -82,7 +101,12 @@
 
 
 class CallFailure(Enum):
-    """Why a call to a worker gave no result."""
+    """Reason why a call to a worker failed.
+
+    ``FENCED`` means that the worker knows a higher fencing token, ``OTHER_BOOT`` that
+    a worker with another id listens at the address, ``NO_ANSWER`` that no complete
+    reply arrived, and ``REFUSED`` any other reply that is not a success.
+    """
 
     FENCED = "fenced"
     OTHER_BOOT = "other_boot"
@@ -91,13 +115,13 @@
 
 
 class WorkerClient(ABC):
-    """Calls workers."""
+    """Sends orders to workers and polls them for reports."""
 
     @abstractmethod
     async def start(
         self, worker: WorkerAddress, request: StartRequest, timeout_s: float
     ) -> StartAnswer:
-        """Start a run."""
+        """Order a worker to start a run."""
 
     @abstractmethod
     async def stop(
@@ -108,7 +132,7 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Stop a run; its end is reported later."""
+        """Order a worker to stop a run; a later poll reports that it ended."""
 
     @abstractmethod
     async def set_pace(
@@ -120,28 +144,36 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Let a run work at a share of its speed."""
+        """Order a worker to limit a run to a percentage of its full speed."""
 
     @abstractmethod
     async def poll(
         self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the lease and return what runs and what ended."""
+        """Renew the leases on a worker; return its running and its ended runs."""
 
 
 @frozen
 class Advice:
-    """Tickets by worker, and how long they are valid in seconds."""
+    """Reply of the advice service.
+
+    Attributes
+    ----------
+    tickets : dict of str to str
+        Ticket for each worker that may run the step, by worker id.
+    valid_s : float
+        How long the tickets are valid, in seconds.
+    """
 
     tickets: dict[str, str]
     valid_s: float
 
 
 class AdviceClient(ABC):
-    """Asks which workers may run a step."""
+    """Asks the advice service which workers may run a step."""
 
     @abstractmethod
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Return the tickets granted, or None without an answer."""
+        """Return the tickets for a step, or None if the service did not reply."""
--- a/src/fuchsiadale/ports/worker_list.py
+++ b/src/fuchsiadale/ports/worker_list.py
@@ -1,4 +1,4 @@
-"""The list of registered workers."""
+"""Interface of the list of registered workers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class WorkerList(ABC):
-    """Reads the list of registered workers."""
+    """Reads the registrations of workers."""
 
     @abstractmethod
     async def read(self) -> Result[tuple[WorkerEntry, ...], StoreFailure]:
-        """Return every registration that names a worker to use."""
+        """Return all valid registrations."""
--- a/tests/row_store.py
+++ b/tests/row_store.py
@@ -1,4 +1,4 @@
-"""A store of rows in memory that fails on demand."""
+"""In-memory row store for tests that can simulate failures."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
     TableRow,
 )
 
-ANSWER_S = 0.004
+LATENCY_S = 0.004
 
 
 class MemoryRowStore(RowStore):
-    """Keeps rows in memory.
+    """Row store that keeps all rows and their change history in memory.
 
     Attributes
     ----------
     is_down : bool
-        Whether every call is refused.
+        Whether every call fails as unavailable.
     lost_answers : int
-        How many of the next transactions are applied and not answered.
+        Number of next transactions that are applied but reported as unknown.
     is_history_lost : bool
-        Whether the next watch is told that the history is gone.
+        Whether the next watch fails because the change history is lost; the watch
+        resets it.
     applied_writes : list of RowWrite
-        Every write that was applied.
+        All writes that were applied, in order.
     """
 
     def __init__(self) -> None:
@@ -40,16 +41,16 @@
         self.is_history_lost = False
         self.applied_writes: list[RowWrite] = []
         self._rows: dict[tuple[str, str], TableRow] = {}
-        self._log: list[TableRow] = []
+        self._history: list[TableRow] = []
         self._version = 0
         self._changed = asyncio.Event()
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Write a row without a condition."""
+        """Write a row unconditionally."""
         self._apply((RowWrite(table, key, value),))
 
     def get_version(self, table: str, key: str) -> int:
-        """Return the version of a row, 0 if it does not exist."""
+        """Return the version of a row, or 0 if it does not exist."""
         row = self._rows.get((table, key))
         return row.version if row else 0
 
@@ -59,8 +60,8 @@
         conditions: tuple[RowCondition, ...] = (),
         timeout_s: float = 1.0,
     ) -> Result[int, StoreFailure]:
-        """Apply all writes if every condition holds."""
-        await asyncio.sleep(ANSWER_S)
+        """Apply all writes if every condition holds; return the store's new version."""
+        await asyncio.sleep(LATENCY_S)
         if self.is_down:
             return Err(StoreFailure.UNAVAILABLE)
         for condition in conditions:
@@ -75,31 +76,35 @@
     async def read(
         self, table: str, start: str = "", limit: int = 500, timeout_s: float = 1.0
     ) -> Result[RowPage, StoreFailure]:
-        """Return rows of a table in the order of their keys."""
-        await asyncio.sleep(ANSWER_S)
+        """Return at most `limit` rows of a table, sorted by key, from `start` on."""
+        await asyncio.sleep(LATENCY_S)
         if self.is_down:
             return Err(StoreFailure.UNAVAILABLE)
-        keys = sorted(key for of, key in self._rows if of == table and key >= start)
+        keys = sorted(
+            key for row_table, key in self._rows if row_table == table and key >= start
+        )
         rows = tuple(self._rows[table, key] for key in keys[:limit])
         return Ok(RowPage(rows, len(keys) > limit, self._version))
 
     async def watch(
         self, table: str, after: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait for changes of a table after a version."""
+        """Wait at most `wait_s` seconds for changes of a table after a version."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while True:
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(LATENCY_S)
             if self.is_down:
                 return Err(StoreFailure.UNAVAILABLE)
             if self.is_history_lost:
                 self.is_history_lost = False
                 return Err(StoreFailure.HISTORY_LOST)
             rows = tuple(
-                row for row in self._log if row.table == table and row.version > after
+                row
+                for row in self._history
+                if row.table == table and row.version > after
             )
-            if rows or loop.time() >= until_s:
+            if rows or loop.time() >= deadline_s:
                 return Ok(RowChanges(rows, self._version))
             await asyncio.sleep(0.05)
 
@@ -111,7 +116,7 @@
             value = write.value or b""
             is_deleted = write.value is None
             row = TableRow(write.table, write.key, value, self._version, is_deleted)
-            self._log.append(row)
+            self._history.append(row)
             if is_deleted:
                 self._rows.pop(key, None)
             else:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Decodes what the platform says, and keeps its names inside the adapter."""
+"""Tests that the adapter decodes the platform's messages and keeps its wire names."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         }
     ],
 }
-ENTRY = {
+REGISTRATION = {
     "service": "s",
     "address": "10.0.0.9:80",
     "zone": "z",
@@ -69,46 +69,46 @@
 }
 
 
-class Client:
-    """Gives prepared answers and keeps what was sent."""
+class FakeHttpClient:
+    """Returns prepared replies and records the calls."""
 
     def __init__(self, *replies: Reply | NoReply) -> None:
         self.replies = list(replies)
-        self.sent: list[tuple[str, str, object, object]] = []
+        self.sent_calls: list[tuple[str, str, object, object]] = []
 
     async def call(
         self, method: str, url: str, body: object = None, **options: object
     ) -> Reply | NoReply:
-        """Answer with the next prepared answer."""
-        self.sent.append((method, url, body, options.get("headers")))
+        """Return the next prepared reply."""
+        self.sent_calls.append((method, url, body, options.get("headers")))
         return self.replies.pop(0)
 
 
-def task() -> TaskName:
+def make_task_name() -> TaskName:
     name = parse_task_name("5c0e7a21d94b36f8.0.1.17")
     assert name is not None
     return name
 
 
-def test_configuration_is_decoded_into_the_products_terms():
-    found = decode_configuration(orjson.dumps(CONFIGURATION)).unwrap()
-    queue = found.queues[0]
+def test_configuration_document_is_decoded_into_queues_and_workspaces():
+    configuration = decode_configuration(orjson.dumps(CONFIGURATION)).unwrap()
+    queue = configuration.queues[0]
     assert (queue.pool, queue.slack_s, queue.priority) == ("s", 3.0, 2)
     assert queue.advice is not None
     assert queue.advice.cost_s(10) == pytest.approx(0.296)
-    limit = found.workspaces[0].limit
+    limit = configuration.workspaces[0].limit
     assert limit == Resources(1000, UNLIMITED_AMOUNT, 4)
-    assert found.find_queue("a.example", "/x/1") is queue
-    assert found.workspace_of_key("k") is found.workspaces[0]
+    assert configuration.find_queue("a.example", "/x/1") is queue
+    assert configuration.workspace_of_key("k") is configuration.workspaces[0]
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version":"x"}', b"\xff"])
-def test_unreadable_configuration_is_an_error(value: bytes):
+def test_invalid_configuration_returns_error(value: bytes):
     assert isinstance(decode_configuration(value), Err)
 
 
-def test_worker_is_decoded():
-    entry = decode_worker("i-1", orjson.dumps({**ENTRY, "remaining_ms": 1500}))
+def test_valid_registration_is_decoded():
+    entry = decode_worker("i-1", orjson.dumps({**REGISTRATION, "remaining_ms": 1500}))
     assert entry is not None
     assert entry.state is WorkerState.READY
     assert entry.remaining_s == 1.5
@@ -119,8 +119,8 @@
     "change",
     [{"state": "odd"}, {"address": 5}, {"capacity": None}, {"capacity": {"cpu": "x"}}],
 )
-def test_entry_of_another_writer_names_no_worker(change: dict[str, object]):
-    assert decode_worker("i-1", orjson.dumps({**ENTRY, **change})) is None
+def test_invalid_registration_decodes_to_none(change: dict[str, object]):
+    assert decode_worker("i-1", orjson.dumps({**REGISTRATION, **change})) is None
     assert decode_worker("i-1", b"\xff") is None
 
 
@@ -136,13 +136,13 @@
         b'{"spec":5,"steps":[{"count":1}]}',
     ],
 )
-def test_bad_jobs_get_a_clear_error(body: bytes):
+def test_invalid_job_returns_error_message(body: bytes):
     outcome = decode_job(body)
     assert isinstance(outcome, Err)
     assert outcome.err_value
 
 
-def test_job_is_decoded():
+def test_valid_job_is_decoded():
     body = {
         "spec": "text",
         "steps": [
@@ -177,28 +177,37 @@
         (NoReply(False, "refused"), StartOutcome.UNHEALTHY),
     ],
 )
-def test_answers_to_a_start(reply: Reply | NoReply, outcome: StartOutcome):
+def test_start_reply_is_mapped_to_outcome(
+    reply: Reply | NoReply, outcome: StartOutcome
+):
     async def main() -> None:
-        client = Client(reply)
-        request = StartRequest(task(), 2, "text", "", "t", 486000, 7)
+        client = FakeHttpClient(reply)
+        request = StartRequest(make_task_name(), 2, "text", "", "t", 486000, 7)
         workers = PlatformWorkerClient(client)  # type: ignore[arg-type]
         answer = await workers.start(WORKER, request, 1.0)
         assert answer.outcome is outcome
-        assert client.sent[0][3] == {"X-Fuchsiadale-Expect-Instance": "i-1"}
+        assert client.sent_calls[0][3] == {"X-Fuchsiadale-Expect-Instance": "i-1"}
 
     run_virtually(main())
 
 
-def test_look_is_decoded_and_odd_rows_are_left_out():
+def test_poll_reply_is_decoded_without_invalid_rows():
     body = {
         "clock_ms": 482113,
         "born": 17,
-        "running": [[str(task()), 2, "saved", 41, 900], ["odd"], ["a.b.c.d", 1, "", 0]],
-        "finished": [[58, str(task()), 1, "done", ""], [59, str(task()), 1, "odd", ""]],
+        "running": [
+            [str(make_task_name()), 2, "saved", 41, 900],
+            ["odd"],
+            ["a.b.c.d", 1, "", 0],
+        ],
+        "finished": [
+            [58, str(make_task_name()), 1, "done", ""],
+            [59, str(make_task_name()), 1, "odd", ""],
+        ],
     }
 
     async def main() -> None:
-        workers = PlatformWorkerClient(Client(Reply(200, body)))  # type: ignore[arg-type]
+        workers = PlatformWorkerClient(FakeHttpClient(Reply(200, body)))  # type: ignore[arg-type]
         request = PollRequest(486000, 7, 57, 1.0)
         report = (await workers.poll(WORKER, request, 2.0)).unwrap()
         assert report.started_ms == 17
@@ -209,7 +218,7 @@
             (Reply(421, {}), CallFailure.OTHER_BOOT),
             (NoReply(True, "timeout"), CallFailure.NO_ANSWER),
         ):
-            workers = PlatformWorkerClient(Client(reply))  # type: ignore[arg-type]
+            workers = PlatformWorkerClient(FakeHttpClient(reply))  # type: ignore[arg-type]
             assert await workers.poll(WORKER, request, 2.0) == Err(failure)
 
     run_virtually(main())
@@ -228,18 +237,18 @@
         (NoReply(False, "refused"), Err(StoreFailure.UNAVAILABLE)),
     ],
 )
-def test_answers_of_the_store(reply: Reply | NoReply, outcome: object):
+def test_transact_reply_is_mapped_to_result(reply: Reply | NoReply, outcome: object):
     async def main() -> None:
-        store = PlatformRowStore(Client(reply), "10.0.0.1:80")  # type: ignore[arg-type]
-        found = await store.transact(
+        store = PlatformRowStore(FakeHttpClient(reply), "10.0.0.1:80")  # type: ignore[arg-type]
+        result = await store.transact(
             (RowWrite("t", "k", b"v"),), (RowCondition("t", "k", 0),)
         )
-        assert found == outcome
+        assert result == outcome
 
     run_virtually(main())
 
 
-def test_settings_name_what_is_missing(tmp_path: Path):
+def test_missing_setting_is_named_in_error(tmp_path: Path):
     path = tmp_path / "boot.conf"
     path.write_text("node_name=a\nip=10.0.0.5\n")
     outcome = read_cell_settings(path)
@@ -247,7 +256,7 @@
     assert "listen.front is missing" in outcome.err_value
 
 
-def test_wire_names_stay_in_the_adapter():
+def test_wire_names_occur_only_in_the_adapter():
     wire = re.compile(
         'acked_through|until_ms"|rows-tx|rows-feed|rows-get|run-start|run-stop'
         "|expected_revision|cold_remaining_ms|enforces_capacity|X-Fuchsiadale-[A-Z]"
