--- a/src/fuchsiadale/backend/messages.py
+++ b/src/fuchsiadale/backend/messages.py
@@ -171,7 +171,8 @@
     leaving : bool
         Whether the worker is about to leave.
     ended_through : int
-        Number of the last ended attempt in this report.
+        Number of the last end that this report covers; the sender of the heartbeat
+        returns it as ``received_through``.
     usage : Resources
         Resources that the worker's tasks use, as measured; none if not measured.
     running : list of RunningAttempt
@@ -197,7 +198,7 @@
 
 
 def make_end_message(attempt_id: str, end: AttemptEnd, answer: bytes) -> EndMessage:
-    """Return the message that an attempt ended, with its answer and the digest."""
+    """Return the message that an attempt ended, with its answer's length and digest."""
     digest = hashlib.sha256(answer).hexdigest()
     return EndMessage(attempt_id, end, answer, len(answer), digest)
 
--- a/src/fuchsiadale/platform/documents.py
+++ b/src/fuchsiadale/platform/documents.py
@@ -107,12 +107,12 @@
         return "the job has no steps; at least one is required"
     for index, step in enumerate(specification.steps):
         if step.count < 1:
-            return f"step {index} has {step.count} tasks; at least one is required"
+            return f"step {index} has less than one task"
         if any(not 0 <= predecessor < index for predecessor in step.after):
             return f"step {index} depends on a step that is not before it"
     tasks = sum(step.count for step in specification.steps)
     if tasks * specification.occurrences > MAX_TASKS_PER_JOB:
-        return f"the job has more tasks than the maximum of {MAX_TASKS_PER_JOB}"
+        return f"the job has more than the maximum of {MAX_TASKS_PER_JOB} tasks"
     return None
 
 
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -102,7 +102,7 @@
         return Err(
             Refusal(
                 ErrorKind.MALFORMED,
-                f"method {request.method} is not supported; use GET, POST or DELETE",
+                f"the method must be GET, POST or DELETE, but is {request.method}",
             )
         )
 
--- a/src/fuchsiadale/ports/http.py
+++ b/src/fuchsiadale/ports/http.py
@@ -205,5 +205,5 @@
         except _CONNECTION_ERRORS as error:
             return Err(f"the host list cannot be reached: {error}")
         if status != 200:
-            return Err(f"the host list replied with status {status}, expected 200")
+            return Err(f"the host list replied with a status other than 200: {status}")
         return decode(body, HostListing)
--- a/src/fuchsiadale/ports/table.py
+++ b/src/fuchsiadale/ports/table.py
@@ -38,7 +38,7 @@
 
 @frozen
 class Condition:
-    """Requires that a row has this version; `ABSENT_VERSION`: it does not exist."""
+    """Requires that a row has this version, or with `ABSENT_VERSION` does not exist."""
 
     key: str
     version: int
