--- a/src/fuchsiadale/platform/advice.py
+++ b/src/fuchsiadale/platform/advice.py
@@ -27,7 +27,7 @@
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Return the tickets for a step, or None if the service did not reply."""
+        """Return the tickets for a step, or None without a successful reply."""
         body = {"step": str(step), "workers": list(worker_ids)}
         reply = await self._client.call("POST", self._url, body, timeout_s=timeout_s)
         if isinstance(reply, NoReply) or reply.status != 200:
--- a/src/fuchsiadale/platform/store.py
+++ b/src/fuchsiadale/platform/store.py
@@ -94,12 +94,12 @@
         return Ok(RowPage(rows, bool(body.get("has_more")), _decode_version(body)))
 
     async def watch(
-        self, table: str, after: int, wait_s: float
+        self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
         """Wait at most `wait_s` seconds for changes of a table after a version."""
         query = {
             "table": table,
-            "after": str(after),
+            "after": str(after_version),
             "wait_ms": str(round(1000 * wait_s)),
         }
         reply = await self._client.call(
@@ -111,7 +111,9 @@
         if isinstance(parsed, Err):
             return parsed
         body = parsed.ok_value
-        return Ok(RowChanges(_decode_rows(body), max(_decode_version(body), after)))
+        return Ok(
+            RowChanges(_decode_rows(body), max(_decode_version(body), after_version))
+        )
 
 
 def _encode_row_id(table: str, key: str) -> dict[str, Any]:
--- a/src/fuchsiadale/ports/rows.py
+++ b/src/fuchsiadale/ports/rows.py
@@ -80,7 +80,7 @@
 
 @frozen
 class RowChanges:
-    """Changed rows in order of their versions, and the version to watch from next."""
+    """Changed rows in order of their versions, and the version to watch after next."""
 
     rows: tuple[TableRow, ...]
     version: int
@@ -106,6 +106,6 @@
 
     @abstractmethod
     async def watch(
-        self, table: str, after: int, wait_s: float
+        self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
         """Wait at most `wait_s` seconds for changes of a table after a version."""
--- a/src/fuchsiadale/ports/table.py
+++ b/src/fuchsiadale/ports/table.py
@@ -129,7 +129,9 @@
     outcome = await table.transact(transaction)
     if not (isinstance(outcome, Err) and outcome.err_value is TableFailure.UNKNOWN):
         return outcome
-    probe_key = next(w.key for w in transaction.writes if w.value is not None)
+    probe_key = next(
+        write.key for write in transaction.writes if write.value is not None
+    )
     read_back = await table.read(probe_key)
     if isinstance(read_back, Err):
         return Err(TableFailure.UNKNOWN)
--- a/src/fuchsiadale/ports/task_workers.py
+++ b/src/fuchsiadale/ports/task_workers.py
@@ -176,4 +176,4 @@
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Return the tickets for a step, or None if the service did not reply."""
+        """Return the tickets for a step, or None without a successful reply."""
--- a/tests/row_store.py
+++ b/tests/row_store.py
@@ -87,7 +87,7 @@
         return Ok(RowPage(rows, len(keys) > limit, self._version))
 
     async def watch(
-        self, table: str, after: int, wait_s: float
+        self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
         """Wait at most `wait_s` seconds for changes of a table after a version."""
         loop = asyncio.get_running_loop()
@@ -102,7 +102,7 @@
             rows = tuple(
                 row
                 for row in self._history
-                if row.table == table and row.version > after
+                if row.table == table and row.version > after_version
             )
             if rows or loop.time() >= deadline_s:
                 return Ok(RowChanges(rows, self._version))
