--- a/src/fuchsiadale/backend/http.py
+++ b/src/fuchsiadale/backend/http.py
@@ -29,6 +29,8 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 1.5
+"""Seconds allowed for a call, besides the time for which the worker holds its reply."""
+
 _HEADERS = {"Content-Type": CONTENT_TYPE}
 _STALE_EPOCH_STATUS = 409
 
@@ -116,7 +118,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     def connect(self, address: str) -> BackendServer:
-        """Return a client of the backend server with a base URL."""
+        """Return a client of the backend server whose base URL is `address`."""
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, limit_per_host=0)
             self._session = aiohttp.ClientSession(connector=connector)
--- a/src/fuchsiadale/backend/messages.py
+++ b/src/fuchsiadale/backend/messages.py
@@ -36,7 +36,7 @@
     echo_s : float
         The last reading of the worker's clock that the sender received, in seconds.
     received_through : int
-        Number of the last ended attempt whose report the sender received.
+        Sequence number of the last end that the sender has received.
     acknowledged : list of str
         Ids of ended attempts that the worker may forget.
     hold_s : float
@@ -104,7 +104,7 @@
 
 @frozen
 class StartReplies:
-    """Replies to a batch of start orders, one for each order."""
+    """Replies to start orders, one for each; empty in reply to stop orders."""
 
     replies: list[StartReply]
 
@@ -171,14 +171,16 @@
     leaving : bool
         Whether the worker is about to leave.
     ended_through : int
-        Number of the last end that this report covers; the sender of the heartbeat
-        returns it as ``received_through``.
+        Sequence number of the last end that this report covers; the owner sends it
+        back as ``received_through`` in its next heartbeat.
     usage : Resources
-        Resources that the worker's tasks use, as measured; none if not measured.
+        Measured resource usage of the worker's tasks, with a delay; `NO_RESOURCES` if
+        it is not measured.
     running : list of RunningAttempt
         Attempts that are running.
     ended : list of EndMessage
-        Attempts that have ended and are not yet acknowledged.
+        Ended attempts that are not acknowledged; in the reply to a heartbeat only
+        those whose end has a number above its ``received_through``.
     """
 
     clock_s: float
@@ -204,14 +206,14 @@
 
 
 def validate_report(message: ReportMessage) -> Result[WorkerReport, str]:
-    """Return the report, or an error if an answer differs from its length or digest."""
+    """Return the report, or an error if the length or digest of an answer is wrong."""
     ended: list[EndedAttempt] = []
     for end in message.ended:
         digest = hashlib.sha256(end.answer).hexdigest()
         if len(end.answer) != end.length or digest != end.sha256:
             return Err(
-                f"the answer of attempt {end.attempt_id} does not match its length"
-                " and digest"
+                f"the answer of attempt {end.attempt_id} does not match the length"
+                " or digest sent with it"
             )
         ended.append(EndedAttempt(end.attempt_id, end.end, end.answer))
     report = WorkerReport(
--- a/src/fuchsiadale/backend/server.py
+++ b/src/fuchsiadale/backend/server.py
@@ -22,8 +22,10 @@
     """Reason why a call to a backend server failed.
 
     ``STALE_EPOCH`` means that the backend server knows a higher epoch, ``NOT_SENT``
-    that it did not receive the call, ``UNKNOWN`` that it may have received the call,
-    and ``INVALID_ANSWER`` that its reply cannot be decoded.
+    that it did not receive the call, ``UNKNOWN`` that the outcome of the call is
+    unknown since no complete reply arrived or its status is unexpected, and
+    ``INVALID_ANSWER`` that the reply cannot be decoded, or that an answer in it does
+    not match its length or digest.
     """
 
     STALE_EPOCH = "stale_epoch"
@@ -61,7 +63,7 @@
 
     @abstractmethod
     def connect(self, address: str) -> BackendServer:
-        """Return a client of the backend server with a base URL."""
+        """Return a client of the backend server whose base URL is `address`."""
 
     @abstractmethod
     async def close(self) -> None:
--- a/src/fuchsiadale/platform/documents.py
+++ b/src/fuchsiadale/platform/documents.py
@@ -47,7 +47,9 @@
             )
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Err(f"the configuration is invalid: {error!r}")
+        return Err(
+            f"the configuration is not JSON or a field is missing or invalid: {error!r}"
+        )
 
 
 def decode_worker(worker_id: str, value: bytes) -> WorkerEntry | None:
@@ -96,7 +98,7 @@
                 int(body["repetitions"]),
             )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Err(f"the body is not a valid job: {error!r}")
+        return Err(f"the job is not JSON or a field is missing or invalid: {error!r}")
     specification = JobSpecification(payload, steps, schedule)
     problem = _find_problem(specification)
     return Ok(specification) if problem is None else Err(problem)
@@ -107,12 +109,12 @@
         return "the job has no steps; at least one is required"
     for index, step in enumerate(specification.steps):
         if step.count < 1:
-            return f"step {index} has less than one task"
+            return f"step {index} must have at least one task"
         if any(not 0 <= predecessor < index for predecessor in step.after):
-            return f"step {index} depends on a step that is not before it"
+            return f"step {index} may depend only on earlier steps"
     tasks = sum(step.count for step in specification.steps)
     if tasks * specification.occurrences > MAX_TASKS_PER_JOB:
-        return f"the job has more than the maximum of {MAX_TASKS_PER_JOB} tasks"
+        return f"the job exceeds the maximum of {MAX_TASKS_PER_JOB} tasks"
     return None
 
 
--- a/src/fuchsiadale/platform/http.py
+++ b/src/fuchsiadale/platform/http.py
@@ -13,7 +13,10 @@
 """Seconds after which an idle connection is closed; below the platform's idle limit."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Connect timeout in seconds; TCP resends a lost SYN packet after one second."""
+"""Connect timeout in seconds.
+
+It ends when TCP would resend a lost SYN packet, which is after one second.
+"""
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -19,7 +19,8 @@
 MAX_BODY_BYTES = 1 << 20
 """Maximum size of a request body in bytes: four times the platform's own limit.
 
-aiohttp's default limit, which enforces it, has the same value.
+This constant is not passed to aiohttp: its default limit, which has the same value,
+rejects larger bodies.
 """
 
 READINESS_PATH = "/api/readiness"
--- a/src/fuchsiadale/platform/main.py
+++ b/src/fuchsiadale/platform/main.py
@@ -41,7 +41,7 @@
 
 
 def main(path: Path | None = None) -> None:
-    """Read the settings and run the process until it receives SIGTERM."""
+    """Read the settings and run the process until SIGTERM or SIGINT arrives."""
     settings = read_cell_settings(path or get_settings_path())
     if isinstance(settings, Err):
         print(settings.err_value, file=sys.stderr)
@@ -51,7 +51,7 @@
 
 
 async def serve(settings: CellSettings) -> None:
-    """Serve callers, peers, readiness checks and metrics until SIGTERM."""
+    """Serve callers, peers, readiness checks and metrics until SIGTERM or SIGINT."""
     log = EventLog(settings.node)
     log.install()
     log_message("starting", ip=settings.ip, is_first_start=settings.is_first_start)
--- a/src/fuchsiadale/platform/registry.py
+++ b/src/fuchsiadale/platform/registry.py
@@ -69,7 +69,7 @@
     async def watch(
         self, position: int, wait_s: float
     ) -> Result[ConfigurationReading, StoreFailure]:
-        """Wait at most `wait_s` seconds for a newer configuration."""
+        """Wait for a newer configuration; the store waits at most `wait_s` seconds."""
         changes = await self._store.watch(OPERATOR_TABLE, position, wait_s)
         return changes.map(lambda result: _decode_reading(result.rows, result.version))
 
--- a/src/fuchsiadale/platform/settings.py
+++ b/src/fuchsiadale/platform/settings.py
@@ -38,7 +38,8 @@
     is_first_start : bool
         Whether this is the first start of the whole system.
     bounds : CellTerms
-        Time limits of the deployment.
+        Time bounds that the deployment sets: longest lease, key revocation, status
+        retention and shutdown grace.
     """
 
     node: str
@@ -73,7 +74,7 @@
     except KeyError as error:
         return Err(f"{path}: the setting {error.args[0]} is missing")
     except ValueError as error:
-        return Err(f"{path}: a setting is invalid: {error}")
+        return Err(f"{path}: a numeric setting is invalid: {error}")
 
 
 def _decode(fields: dict[str, str]) -> CellSettings:
--- a/src/fuchsiadale/platform/store.py
+++ b/src/fuchsiadale/platform/store.py
@@ -20,10 +20,13 @@
 )
 
 STORE_PART = ""
-"""Part of the store that holds all rows, so that no transaction spans several parts."""
+"""Name, here empty, of the store's part that holds all rows.
+
+A transaction then never spans several parts.
+"""
 
 WATCH_MARGIN_S = 1.0
-"""Seconds for which the reply to a watch may come late, as the store may be slow."""
+"""Seconds that the timeout of a watch exceeds its wait, since the store may be slow."""
 
 
 class PlatformRowStore(RowStore):
@@ -96,7 +99,10 @@
     async def watch(
         self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait at most `wait_s` seconds for changes of a table after a version."""
+        """Return the changes of a table after a version.
+
+        If there are none yet, the store waits at most `wait_s` seconds for one.
+        """
         query = {
             "table": table,
             "after": str(after_version),
--- a/src/fuchsiadale/platform/worker_api.py
+++ b/src/fuchsiadale/platform/worker_api.py
@@ -1,4 +1,4 @@
-"""Client of the interface of the platform's workers."""
+"""Client of the HTTP API of the platform's workers."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
     async def poll(
         self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the leases on a worker; return its running and its ended runs."""
+        """Return the runs of a worker; renew all their leases if an end is given."""
         body: dict[str, Any] = {
             "fencing_token": request.fencing_token,
             "acked_through": request.acknowledged_through,
--- a/src/fuchsiadale/ports/hosts.py
+++ b/src/fuchsiadale/ports/hosts.py
@@ -1,4 +1,8 @@
-"""Interface of the host list: the platform's delayed list of workers."""
+"""Interface of the host list.
+
+The host list is the platform's list of live and leaving workers. It shows changes with
+a delay.
+"""
 
 from __future__ import annotations
 
--- a/src/fuchsiadale/ports/http.py
+++ b/src/fuchsiadale/ports/http.py
@@ -24,6 +24,8 @@
 T = TypeVar("T")
 
 PLATFORM_TIMEOUT_S = 2.0
+"""Seconds allowed for a whole call to the platform."""
+
 _HEADERS = {"Content-Type": CONTENT_TYPE}
 _CONNECTION_ERRORS = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
@@ -203,7 +205,7 @@
                 body = await response.read()
                 status = response.status
         except _CONNECTION_ERRORS as error:
-            return Err(f"the host list cannot be reached: {error}")
+            return Err(f"the request for the host list failed: {error}")
         if status != 200:
             return Err(f"the host list replied with a status other than 200: {status}")
         return decode(body, HostListing)
--- a/src/fuchsiadale/ports/observed_table.py
+++ b/src/fuchsiadale/ports/observed_table.py
@@ -1,4 +1,4 @@
-"""A table client that counts calls and records whether the store is reachable."""
+"""Table client that counts calls and records whether the last one failed."""
 
 from __future__ import annotations
 
--- a/src/fuchsiadale/ports/rows.py
+++ b/src/fuchsiadale/ports/rows.py
@@ -14,7 +14,8 @@
 
     ``CONFLICT`` means that a condition of the transaction does not hold.
     ``UNAVAILABLE`` means that the store cannot be reached or refuses the call.
-    ``UNKNOWN`` means that the transaction may have been applied, or may still be.
+    ``UNKNOWN`` means that no complete reply arrived, or one without a version; a
+    transaction may have been applied, or may still be applied.
     ``HISTORY_LOST`` means that the store no longer has the changes after the version
     given to `RowStore.watch`, so that the table must be read again.
     """
@@ -108,4 +109,7 @@
     async def watch(
         self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait at most `wait_s` seconds for changes of a table after a version."""
+        """Return the changes of a table after a version.
+
+        If there are none yet, the store waits at most `wait_s` seconds for one.
+        """
--- a/src/fuchsiadale/ports/table.py
+++ b/src/fuchsiadale/ports/table.py
@@ -123,8 +123,9 @@
     Returns
     -------
     Result
-        ``CONFLICT`` also if the row does not exist or has another nonce, since the
-        state is then that of another writer; ``UNKNOWN`` if it cannot be read either.
+        ``CONFLICT`` also if the row does not exist or has another nonce: the
+        transaction was not applied, or another writer has since changed the row;
+        ``UNKNOWN`` if the row cannot be read.
     """
     outcome = await table.transact(transaction)
     if not (isinstance(outcome, Err) and outcome.err_value is TableFailure.UNKNOWN):
--- a/src/fuchsiadale/ports/task_workers.py
+++ b/src/fuchsiadale/ports/task_workers.py
@@ -78,7 +78,7 @@
 
 @frozen
 class PollRequest:
-    """Request to a worker to renew all leases and to report its runs.
+    """Request to a worker to report its runs and, if an end is given, renew leases.
 
     Attributes
     ----------
@@ -88,8 +88,8 @@
     fencing_token : int
         Fencing token of the owner that sends the request.
     acknowledged_through : int
-        Number of the last ended run that the owner has recorded; the worker may
-        forget that end and all earlier ones.
+        Sequence number of the last reported end that the owner has recorded; the
+        worker may forget this end and all earlier ones.
     wait_s : float
         How long the worker may wait for a run to end before it replies, in seconds.
     """
@@ -150,7 +150,7 @@
     async def poll(
         self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the leases on a worker; return its running and its ended runs."""
+        """Return the runs of a worker; renew all their leases if an end is given."""
 
 
 @frozen
--- a/tests/row_store.py
+++ b/tests/row_store.py
@@ -1,4 +1,4 @@
-"""In-memory row store for tests that can simulate failures."""
+"""In-memory row store that can simulate failures, for tests."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 )
 
 LATENCY_S = 0.004
+"""Simulated duration of each call to the store, in seconds."""
 
 
 class MemoryRowStore(RowStore):
@@ -27,7 +28,8 @@
     is_down : bool
         Whether every call fails as unavailable.
     lost_answers : int
-        Number of next transactions that are applied but reported as unknown.
+        Number of further applied transactions whose outcome is reported as unknown;
+        each of them reduces it by one.
     is_history_lost : bool
         Whether the next watch fails because the change history is lost; the watch
         resets it.
@@ -89,7 +91,10 @@
     async def watch(
         self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait at most `wait_s` seconds for changes of a table after a version."""
+        """Return the changes of a table after a version.
+
+        If there are none yet, the store waits at most `wait_s` seconds for one.
+        """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
         while True:
