--- /dev/null
+++ b/tests/soak/clients.py
@@ -0,0 +1,147 @@
+"""Callers that submit, ask, cancel and try again, and what they are told."""
+
+from __future__ import annotations
+
+import asyncio
+from random import Random
+
+import aiohttp
+import orjson
+from attrs import define, field
+
+from tests.soak.nodes import Node
+from tests.soak.observer import Observer, TaskSpecification
+
+ROUTE_HOST, ROUTE_PREFIX, API_KEY = "jobs.example", "/jobs/", "key-1"
+SUBMIT_ATTEMPTS = 4
+CALL_TIMEOUT_S = 3.0
+RETRY_DELAY_S = 0.3
+STATE_CHECK_DELAY_S = 0.7
+CANCEL_PROBABILITY = 0.08
+REFUSAL_STATUSES = frozenset({429, 503})
+
+
+@define(eq=False)
+class JobClients:
+    """Submits jobs until told to stop.
+
+    Attributes
+    ----------
+    accepted : dict of str to str
+        What became of the jobs that were accepted.
+    cut : list of str
+        Calls whose connection was there and that got no answer.
+    """
+
+    nodes: list[Node]
+    observer: Observer
+    random: Random
+    accepted_jobs: dict[str, str] = field(factory=dict)
+    interrupted_calls: list[str] = field(factory=list)
+
+    async def submit_until(self, stop: asyncio.Event, jobs_per_s: float) -> None:
+        """Submit jobs at a rate, each by a caller of its own."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
+        async with aiohttp.ClientSession(timeout=timeout) as session:
+            calls: set[asyncio.Task[None]] = set()
+            while not stop.is_set():
+                calls.add(asyncio.create_task(self._run_client(session)))
+                await asyncio.sleep(self.random.expovariate(jobs_per_s))
+            await asyncio.gather(*calls)
+
+    async def fetch_state(self, job_id: str) -> str | None:
+        """Return a job's state, or None without an answer."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
+        async with aiohttp.ClientSession(timeout=timeout) as session:
+            status, body = await self._call(session, "GET", job_id, None)
+        return str(body.get("state")) if status == 200 else None
+
+    async def _run_client(self, session: aiohttp.ClientSession) -> None:
+        job_id = f"{self.random.getrandbits(64):016x}"
+        body = self._make_job_body(job_id)
+        if not await self._submit(session, job_id, body):
+            return
+        self.accepted_jobs[job_id] = "accepted"
+        if self.random.random() < CANCEL_PROBABILITY:
+            await asyncio.sleep(self.random.uniform(0.0, 1.0))
+            await self._cancel(session, job_id)
+        elif self.random.random() < 0.3:
+            await asyncio.sleep(STATE_CHECK_DELAY_S)
+            status, reply_body = await self._call(session, "GET", job_id, None)
+            if status == 200:
+                self.observer.check_reported_state(job_id, str(reply_body.get("state")))
+
+    async def _submit(
+        self, session: aiohttp.ClientSession, job_id: str, body: dict[str, object]
+    ) -> bool:
+        statuses = []
+        for _ in range(SUBMIT_ATTEMPTS):
+            status, _ = await self._call(session, "POST", job_id, body)
+            statuses.append(status)
+            if status == 200:
+                return True
+            await asyncio.sleep(RETRY_DELAY_S)
+        if all(status in REFUSAL_STATUSES for status in statuses):
+            self.observer.refused_jobs.add(job_id)
+        return False
+
+    async def _cancel(self, session: aiohttp.ClientSession, job_id: str) -> None:
+        status, _ = await self._call(session, "DELETE", job_id, None)
+        if status == 200:
+            now_s = asyncio.get_running_loop().time()
+            self.observer.cancel_times_s[job_id] = now_s
+            self.accepted_jobs[job_id] = "cancelled"
+        else:
+            # The cancel may have been stored without the answer.
+            self.accepted_jobs[job_id] = "perhaps cancelled"
+
+    async def _call(
+        self,
+        session: aiohttp.ClientSession,
+        method: str,
+        job_id: str,
+        body: dict[str, object] | None,
+    ) -> tuple[int, dict[str, object]]:
+        node = self.random.choice(self.nodes)
+        headers = {"Host": ROUTE_HOST, "X-Fuchsiadale-Credential": API_KEY}
+        data = None if body is None else orjson.dumps(body)
+        try:
+            async with session.request(
+                method, node.url + ROUTE_PREFIX + job_id, data=data, headers=headers
+            ) as response:
+                content = await response.read()
+                reply_body = orjson.loads(content) if content else {}
+                return response.status, reply_body
+        except aiohttp.ClientConnectorError:
+            return 0, {}
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            self.interrupted_calls.append(
+                f"{method} {job_id} at {node.name}: {error!r}"
+            )
+            return 0, {}
+
+    def _make_job_body(self, job_id: str) -> dict[str, object]:
+        steps = []
+        predecessors: tuple[str, ...] = ()
+        for step_index in range(self.random.randint(1, 2)):
+            count = self.random.randint(1, 4)
+            cpu_millis = self.random.choice((500, 1000, 2000))
+            task_names = tuple(
+                f"{job_id}.0.{step_index}.{index}" for index in range(count)
+            )
+            for task_name in task_names:
+                self.observer.specifications[task_name] = TaskSpecification(
+                    cpu_millis, predecessors
+                )
+            step_body: dict[str, object] = {
+                "count": count,
+                "cpu": cpu_millis,
+                "mem_mb": 100,
+                "estimated_ms": 400,
+            }
+            if step_index:
+                step_body["after"] = [step_index - 1]
+            steps.append(step_body)
+            predecessors = task_names
+        duration_s = round(self.random.uniform(0.1, 1.0), 2)
+        return {"spec": orjson.dumps({"seconds": duration_s}).decode(), "steps": steps}
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -11,8 +11,8 @@
 from attrs import define, field
 
 COMMAND = (sys.executable, "-m", "fuchsiadale.platform.main")
-CALLERS_PORT, READINESS_PORT = 8686, 8689
-STOP_PATIENCE_S = 20.0
+CLIENT_PORT, READINESS_PORT = 8686, 8689
+EXIT_TIMEOUT_S = 20.0
 
 
 @define(eq=False)
@@ -36,13 +36,13 @@
     store_address: str
     folder: Path
     process: subprocess.Popen[bytes] | None = None
-    starts: int = 0
-    is_wanted: bool = field(default=True)
+    start_count: int = 0
+    should_run: bool = field(default=True)
 
     @property
     def url(self) -> str:
         """Where it answers callers."""
-        return f"http://{self.ip}:{CALLERS_PORT}"
+        return f"http://{self.ip}:{CLIENT_PORT}"
 
     @property
     def is_running(self) -> bool:
@@ -51,40 +51,40 @@
 
     def start(self) -> None:
         """Start the process."""
-        settings = self.folder / f"{self.name}.conf"
-        settings.write_text(self._settings())
-        self.starts += 1
-        log = (self.folder / f"{self.name}.log").open("ab")
+        settings_file = self.folder / f"{self.name}.conf"
+        settings_file.write_text(self._format_settings())
+        self.start_count += 1
+        log_file = (self.folder / f"{self.name}.log").open("ab")
         self.process = subprocess.Popen(
             COMMAND,
-            stdout=log,
+            stdout=log_file,
             stderr=subprocess.STDOUT,
             env={
-                "FUCHSIADALE_BOOT": str(settings),
+                "FUCHSIADALE_BOOT": str(settings_file),
                 "PATH": "/usr/bin:/bin",
                 "PYTHONPATH": os.environ.get("PYTHONPATH", ""),
             },
         )
-        log.close()
+        log_file.close()
 
-    def signal(self, number: Signals) -> None:
+    def send_signal(self, signal_number: Signals) -> None:
         """Signal the process if it runs."""
         if self.is_running and self.process is not None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """End the process for good."""
-        self.is_wanted = False
-        self.signal(SIGCONT)
-        self.signal(SIGKILL)
+        self.should_run = False
+        self.send_signal(SIGCONT)
+        self.send_signal(SIGKILL)
         if self.process is not None:
-            self.process.wait(STOP_PATIENCE_S)
+            self.process.wait(EXIT_TIMEOUT_S)
 
-    def _settings(self) -> str:
+    def _format_settings(self) -> str:
         lines = (
             f"node_name={self.name}",
             f"ip={self.ip}",
-            f"listen.front={self.ip}:{CALLERS_PORT}",
+            f"listen.front={self.ip}:{CLIENT_PORT}",
             f"listen.ready={self.ip}:{READINESS_PORT}",
             "internal_port_range=7180,7195",
             f"platform.address={self.store_address}",
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -6,74 +6,95 @@
 
 
 @frozen
-class TaskTerms:
+class TaskSpecification:
     """What a submitted task takes and waits for."""
 
     cpu_millis: int
-    after: tuple[str, ...]
+    predecessors: tuple[str, ...]
 
 
 @define
 class Observer:
     """Collects what breaks a promise; nothing is forgotten."""
 
-    terms: dict[str, TaskTerms] = field(factory=dict)
-    running: dict[str, set[str]] = field(factory=dict)
-    started: set[str] = field(factory=set)
-    done: set[str] = field(factory=set)
-    acknowledged: set[str] = field(factory=set)
+    specifications: dict[str, TaskSpecification] = field(factory=dict)
+    running_workers: dict[str, set[str]] = field(factory=dict)
+    started_jobs: set[str] = field(factory=set)
+    succeeded_tasks: set[str] = field(factory=set)
+    acknowledged_tasks: set[str] = field(factory=set)
     refused_jobs: set[str] = field(factory=set)
-    cancelled_s: dict[str, float] = field(factory=dict)
+    cancel_times_s: dict[str, float] = field(factory=dict)
     problems: list[str] = field(factory=list)
-    starts: int = 0
+    start_count: int = 0
 
-    def note_start(
-        self, task: str, worker: str, used_millis: int, room: int, now_s: float
+    def record_start(
+        self,
+        task_name: str,
+        worker_id: str,
+        used_cpu_millis: int,
+        capacity_cpu_millis: int,
+        now_s: float,
     ) -> None:
         """Check a start; `used_millis` counts what the worker already runs."""
-        self.starts += 1
-        job = task.partition(".")[0]
-        terms = self.terms.get(task)
-        if terms is None:
-            self._report(f"{task} was started and nobody asked for it")
+        self.start_count += 1
+        job_id = task_name.partition(".")[0]
+        specification = self.specifications.get(task_name)
+        if specification is None:
+            self._add_problem(f"{task_name} was started and nobody asked for it")
             return
-        places = self.running.setdefault(task, set())
-        if places:
-            self._report(f"{task} runs on {worker} and on {sorted(places)}")
-        if task in self.acknowledged:
-            self._report(f"{task} was started again after its end was acknowledged")
-        if used_millis + terms.cpu_millis > room:
-            self._report(f"{worker} has {used_millis} and takes {terms.cpu_millis}")
-        missing = [before for before in terms.after if before not in self.done]
-        if missing:
-            self._report(f"{task} was started before {missing}")
-        ended_s = self.cancelled_s.get(job)
-        if ended_s is not None and now_s - ended_s > CANCEL_S:
-            self._report(f"{task} was started {now_s - ended_s:.1f} s after its cancel")
-        places.add(worker)
-        self.started.add(job)
+        worker_ids = self.running_workers.setdefault(task_name, set())
+        if worker_ids:
+            self._add_problem(
+                f"{task_name} runs on {worker_id} and on {sorted(worker_ids)}"
+            )
+        if task_name in self.acknowledged_tasks:
+            self._add_problem(
+                f"{task_name} was started again after its end was acknowledged"
+            )
+        if used_cpu_millis + specification.cpu_millis > capacity_cpu_millis:
+            self._add_problem(
+                f"{worker_id} has {used_cpu_millis} and takes {specification.cpu_millis}"
+            )
+        unfinished_tasks = [
+            predecessor
+            for predecessor in specification.predecessors
+            if predecessor not in self.succeeded_tasks
+        ]
+        if unfinished_tasks:
+            self._add_problem(f"{task_name} was started before {unfinished_tasks}")
+        cancelled_s = self.cancel_times_s.get(job_id)
+        if cancelled_s is not None and now_s - cancelled_s > CANCEL_GRACE_S:
+            self._add_problem(
+                f"{task_name} was started {now_s - cancelled_s:.1f} s after its cancel"
+            )
+        worker_ids.add(worker_id)
+        self.started_jobs.add(job_id)
 
-    def note_end(self, task: str, worker: str, is_done: bool) -> None:
+    def record_end(self, task_name: str, worker_id: str, has_succeeded: bool) -> None:
         """Note that a run has ended, however it did."""
-        self.running.get(task, set()).discard(worker)
-        if is_done:
-            self.done.add(task)
+        self.running_workers.get(task_name, set()).discard(worker_id)
+        if has_succeeded:
+            self.succeeded_tasks.add(task_name)
 
-    def note_state(self, job: str, state: str) -> None:
+    def check_reported_state(self, job_id: str, state: str) -> None:
         """Check what a caller was told of a job."""
-        tasks = [task for task in self.terms if task.startswith(f"{job}.")]
-        if state == "completed" and not self.done.issuperset(tasks):
-            self._report(f"{job} was told as completed and is not")
+        task_names = [
+            task_name
+            for task_name in self.specifications
+            if task_name.startswith(f"{job_id}.")
+        ]
+        if state == "completed" and not self.succeeded_tasks.issuperset(task_names):
+            self._add_problem(f"{job_id} was told as completed and is not")
 
-    def check_refused(self) -> None:
+    def check_refused_jobs(self) -> None:
         """Check that what was refused did not run."""
-        for job in self.refused_jobs & self.started:
-            self._report(f"{job} was refused by every try and ran")
+        for job_id in self.refused_jobs & self.started_jobs:
+            self._add_problem(f"{job_id} was refused by every try and ran")
 
-    def _report(self, problem: str) -> None:
+    def _add_problem(self, problem: str) -> None:
         self.problems.append(problem)
 
 
-CANCEL_S = 6.0
+CANCEL_GRACE_S = 6.0
 """Seconds after an acknowledged cancel in which a start is allowed: 3 s in calm
 times by contract, and the 3 s after a disturbance in which it does not hold."""
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -9,7 +9,7 @@
 CHUNK_BYTES = 1 << 16
 
 
-class Mode(Enum):
+class ProxyMode(Enum):
     """What a proxy does with what it is given."""
 
     OPEN = "open"
@@ -34,21 +34,23 @@
     """
 
     def __init__(self, host: str, target_port: int) -> None:
-        self.mode = Mode.OPEN
+        self.mode = ProxyMode.OPEN
         self.delay_s = 0.0
         self._host = host
         self._target_port = target_port
-        self._connections: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
         """Listen; return the port."""
-        self._server = await asyncio.start_server(self._serve, self._host, 0)
+        self._server = await asyncio.start_server(
+            self._handle_connection, self._host, 0
+        )
         return int(self._server.sockets[0].getsockname()[1])
 
     def reset(self) -> None:
         """Reset every connection."""
-        for writer in list(self._connections):
+        for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
@@ -58,42 +60,48 @@
         for task in list(self._tasks):
             task.cancel()
 
-    async def _serve(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.mode is Mode.REFUSE:
+        if self.mode is ProxyMode.REFUSE:
             writer.transport.abort()
             return
         try:
-            target = await asyncio.open_connection(self._host, self._target_port)
+            target_streams = await asyncio.open_connection(
+                self._host, self._target_port
+            )
         except OSError:
             writer.transport.abort()
             return
-        target_reader, target_writer = target
-        self._connections |= {writer, target_writer}
-        calls = self._pump(reader, target_writer, {Mode.SILENT, Mode.DROP_CALLS})
-        answers = self._pump(target_reader, writer, {Mode.SILENT, Mode.DROP_ANSWERS})
-        for pump in (calls, answers):
-            task = asyncio.get_running_loop().create_task(pump)
+        target_reader, target_writer = target_streams
+        self._writers |= {writer, target_writer}
+        request_forwarder = self._forward(
+            reader, target_writer, {ProxyMode.SILENT, ProxyMode.DROP_CALLS}
+        )
+        reply_forwarder = self._forward(
+            target_reader, writer, {ProxyMode.SILENT, ProxyMode.DROP_ANSWERS}
+        )
+        for forwarder in (request_forwarder, reply_forwarder):
+            task = asyncio.get_running_loop().create_task(forwarder)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        dropping: set[Mode],
+        dropping_modes: set[ProxyMode],
     ) -> None:
-        is_dead = False
+        has_dropped_data = False
         with suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                is_dead = is_dead or self.mode in dropping
-                if is_dead:
+                has_dropped_data = has_dropped_data or self.mode in dropping_modes
+                if has_dropped_data:
                     continue
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 writer.write(data)
                 await writer.drain()
-        if not is_dead:
+        if not has_dropped_data:
             writer.close()
-        self._connections.discard(writer)
+        self._writers.discard(writer)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -15,109 +15,109 @@
 from aiohttp import web
 from attrs import frozen
 
-from tests.soak.callers import HOST, KEY, PREFIX, Callers
-from tests.soak.faults import ALL_KINDS, Faults, Surroundings
+from tests.soak.clients import API_KEY, ROUTE_HOST, ROUTE_PREFIX, JobClients
+from tests.soak.faults import ALL_FAULT_KINDS, FaultInjector, FaultTargets
 from tests.soak.nodes import Node
 from tests.soak.observer import Observer
 from tests.soak.proxy import Proxy
 from tests.soak.store import StoreStandIn
-from tests.soak.workers import CAPACITY_MILLIS, Worker, register
+from tests.soak.workers import CAPACITY_CPU_MILLIS, Worker, register_worker
 
-NODES, WORKERS = 3, 4
+NODE_COUNT, WORKER_COUNT = 3, 4
 JOBS_PER_S = 3.0
-FAULTS_S = 20.0
-START_S = 2.0
+FAULT_PERIOD_S = 20.0
+STARTUP_DELAY_S = 2.0
 """Seconds that the processes are given to start."""
 
-CALM_S = 1.0
+FAULT_FREE_PERIOD_S = 1.0
 """Seconds of traffic before the first fault."""
 
-ASK_S = 0.5
+POLL_INTERVAL_S = 0.5
 """Seconds between two rounds of questions for jobs that have not ended."""
 
-SETTLE_S = 60.0
+COMPLETION_TIMEOUT_S = 60.0
 """Seconds after the last fault in which every accepted job has to end."""
 
-FINAL = frozenset({"completed", "failed", "cancelled"})
-HOST_IP = "127.0.0.1"
+FINAL_STATES = frozenset({"completed", "failed", "cancelled"})
+LOOPBACK_IP = "127.0.0.1"
 
 
 @frozen
-class Verdict:
+class SeedResult:
     """What one seed showed."""
 
     seed: int
     problems: tuple[str, ...]
-    accepted: int
-    starts: int
-    cut: tuple[str, ...]
+    accepted_count: int
+    start_count: int
+    interrupted_calls: tuple[str, ...]
 
 
-async def play(
+async def run_seed(
     seed: int,
     folder: Path,
-    seconds: float = FAULTS_S,
-    kinds: tuple[str, ...] = ALL_KINDS,
-) -> Verdict:
+    fault_period_s: float = FAULT_PERIOD_S,
+    fault_kinds: tuple[str, ...] = ALL_FAULT_KINDS,
+) -> SeedResult:
     """Play one seed over real processes and return what broke a promise."""
     random = Random(seed)
     # Runs side by side must not share addresses.
-    pid = os.getpid()
-    network = f"127.{1 + pid % 250}.{1 + pid // 250 % 250}"
+    process_id = os.getpid()
+    network_prefix = f"127.{1 + process_id % 250}.{1 + process_id // 250 % 250}"
     observer = Observer()
     store = StoreStandIn(Random(seed + 1))
     servers: list[web.ServerRunner] = []
-    store_port = await _serve(store.answer, servers)
-    await _configure(store)
-    around = Surroundings([], store, [], [], [], [])
-    background = []
-    for index in range(WORKERS):
+    store_port = await _start_server(store.handle_request, servers)
+    await _write_configuration(store)
+    targets = FaultTargets([], store, [], [], [], [])
+    lease_tasks = []
+    for index in range(WORKER_COUNT):
         worker = Worker(f"worker-{index}", observer, Random(seed + 10 + index))
-        worker.be_born()
-        proxy = Proxy(HOST_IP, await _serve(worker.answer, servers))
-        address = f"{HOST_IP}:{await proxy.start()}"
-        around.workers.append(worker)
-        around.worker_proxies.append(proxy)
-        around.worker_addresses.append(address)
-        background.append(asyncio.create_task(worker.keep_leases()))
-        await register(store, worker, address)
-    for index in range(NODES):
-        proxy = Proxy(HOST_IP, store_port)
-        around.store_proxies.append(proxy)
-        address = f"{HOST_IP}:{await proxy.start()}"
-        ip = f"{network}.{1 + index}"
+        worker.start_incarnation()
+        proxy = Proxy(LOOPBACK_IP, await _start_server(worker.handle_request, servers))
+        address = f"{LOOPBACK_IP}:{await proxy.start()}"
+        targets.workers.append(worker)
+        targets.worker_proxies.append(proxy)
+        targets.worker_addresses.append(address)
+        lease_tasks.append(asyncio.create_task(worker.enforce_lease()))
+        await register_worker(store, worker, address)
+    for index in range(NODE_COUNT):
+        proxy = Proxy(LOOPBACK_IP, store_port)
+        targets.store_proxies.append(proxy)
+        address = f"{LOOPBACK_IP}:{await proxy.start()}"
+        ip = f"{network_prefix}.{1 + index}"
         node = Node(f"node-{index}", ip, address, folder)
         node.start()
-        around.nodes.append(node)
+        targets.nodes.append(node)
     try:
-        callers = Callers(around.nodes, observer, Random(seed + 2))
-        faults = Faults(around, random, kinds)
-        await _drive(faults, callers, folder, seconds)
+        clients = JobClients(targets.nodes, observer, Random(seed + 2))
+        injector = FaultInjector(targets, random, fault_kinds)
+        await _run_faults_under_load(injector, clients, folder, fault_period_s)
     finally:
-        for node in around.nodes:
-            node.end()
-        for task in background:
+        for node in targets.nodes:
+            node.kill()
+        for task in lease_tasks:
             task.cancel()
-        for proxy in around.store_proxies + around.worker_proxies:
+        for proxy in targets.store_proxies + targets.worker_proxies:
             await proxy.stop()
         for server in servers:
             await server.cleanup()
-    return Verdict(
+    return SeedResult(
         seed,
         tuple(observer.problems),
-        len(callers.accepted),
-        observer.starts,
-        tuple(callers.cut),
+        len(clients.accepted_jobs),
+        observer.start_count,
+        tuple(clients.interrupted_calls),
     )
 
 
-async def _drive(
-    faults: Faults, callers: Callers, folder: Path, seconds: float
+async def _run_faults_under_load(
+    injector: FaultInjector, clients: JobClients, folder: Path, fault_period_s: float
 ) -> None:
     stop = asyncio.Event()
-    await asyncio.sleep(START_S)
-    submitting = asyncio.create_task(callers.submit_until(stop, JOBS_PER_S))
-    await asyncio.sleep(CALM_S)
+    await asyncio.sleep(STARTUP_DELAY_S)
+    submitting = asyncio.create_task(clients.submit_until(stop, JOBS_PER_S))
+    await asyncio.sleep(FAULT_FREE_PERIOD_S)
     with (folder / "faults.log").open("a") as file:
         loop = asyncio.get_running_loop()
 
@@ -125,44 +125,44 @@
             file.write(f"{loop.time():.3f} {line}\n")
             file.flush()
 
-        await faults.run(seconds, log)
+        await injector.run(fault_period_s, log)
     stop.set()
     await submitting
-    await _await_ends(callers)
-    callers.observer.check_refused()
+    await _wait_for_jobs(clients)
+    clients.observer.check_refused_jobs()
 
 
-async def _await_ends(callers: Callers) -> None:
+async def _wait_for_jobs(clients: JobClients) -> None:
     """Wait until every accepted job has ended; report those that do not."""
     loop = asyncio.get_running_loop()
-    give_up_s = loop.time() + SETTLE_S
-    open_jobs = set(callers.accepted)
-    while open_jobs and loop.time() < give_up_s:
-        for job in list(open_jobs):
-            state = await callers.ask(job)
+    deadline_s = loop.time() + COMPLETION_TIMEOUT_S
+    pending_jobs = set(clients.accepted_jobs)
+    while pending_jobs and loop.time() < deadline_s:
+        for job_id in list(pending_jobs):
+            state = await clients.fetch_state(job_id)
             if state is not None:
-                callers.observer.note_state(job, state)
-            if state in FINAL:
-                open_jobs.discard(job)
-                _check_final(callers, job, state)
-        await asyncio.sleep(ASK_S)
-    for job in sorted(open_jobs):
-        callers.observer.problems.append(f"{job} was accepted and has not ended")
+                clients.observer.check_reported_state(job_id, state)
+            if state in FINAL_STATES:
+                pending_jobs.discard(job_id)
+                _check_final_state(clients, job_id, state)
+        await asyncio.sleep(POLL_INTERVAL_S)
+    for job_id in sorted(pending_jobs):
+        clients.observer.problems.append(f"{job_id} was accepted and has not ended")
 
 
-def _check_final(callers: Callers, job: str, state: str | None) -> None:
-    if state == "cancelled" and callers.accepted[job] == "accepted":
-        callers.observer.problems.append(f"{job} was told as cancelled and was not")
+def _check_final_state(clients: JobClients, job_id: str, state: str | None) -> None:
+    if state == "cancelled" and clients.accepted_jobs[job_id] == "accepted":
+        clients.observer.problems.append(f"{job_id} was told as cancelled and was not")
 
 
-async def _configure(store: StoreStandIn) -> None:
+async def _write_configuration(store: StoreStandIn) -> None:
     document = {
         "version": 1,
         "routes": [
             {
                 "name": "jobs",
-                "host": HOST,
-                "path_prefix": PREFIX,
+                "host": ROUTE_HOST,
+                "path_prefix": ROUTE_PREFIX,
                 "service": "pool",
                 "priority": 0,
                 "max_attempts": 5,
@@ -173,19 +173,19 @@
         "tenants": [
             {
                 "name": "workspace",
-                "api_keys": [KEY],
+                "api_keys": [API_KEY],
                 "weight": 100,
-                "maximum": {"cpu": 3 * CAPACITY_MILLIS},
+                "maximum": {"cpu": 3 * CAPACITY_CPU_MILLIS},
             }
         ],
     }
-    await store.put("op", "config", b64encode(orjson.dumps(document)).decode())
+    await store.write_row("op", "config", b64encode(orjson.dumps(document)).decode())
 
 
-async def _serve(answer: object, servers: list[web.ServerRunner]) -> int:
-    runner = web.ServerRunner(web.Server(answer, access_log=None))  # type: ignore[arg-type]
+async def _start_server(handler: object, servers: list[web.ServerRunner]) -> int:
+    runner = web.ServerRunner(web.Server(handler, access_log=None))  # type: ignore[arg-type]
     await runner.setup()
-    site = web.TCPSite(runner, HOST_IP, 0)
+    site = web.TCPSite(runner, LOOPBACK_IP, 0)
     await site.start()
     servers.append(runner)
     return int(runner.addresses[0][1])
@@ -194,24 +194,24 @@
 @click.command()
 @click.option("--first", default=1, help="The first seed.")
 @click.option("--count", default=1, help="How many seeds.")
-@click.option("--seconds", default=FAULTS_S, help="Seconds of faults a seed.")
+@click.option("--seconds", default=FAULT_PERIOD_S, help="Seconds of faults a seed.")
 @click.option("--folder", type=click.Path(path_type=Path), help="Takes the logs.")
 def main(first: int, count: int, seconds: float, folder: Path | None) -> None:
     """Play seeds; exit with 1 if any of them broke a promise."""
     root = folder or Path(tempfile.mkdtemp(prefix="soak-"))
-    is_broken = False
+    has_problems = False
     for seed in range(first, first + count):
-        place = root / str(seed)
-        place.mkdir(parents=True, exist_ok=True)
-        verdict = asyncio.run(play(seed, place, seconds))
-        is_broken = is_broken or bool(verdict.problems)
+        seed_folder = root / str(seed)
+        seed_folder.mkdir(parents=True, exist_ok=True)
+        result = asyncio.run(run_seed(seed, seed_folder, seconds))
+        has_problems = has_problems or bool(result.problems)
         click.echo(
-            f"seed {seed}: {verdict.accepted} jobs, {verdict.starts} starts, "
-            f"{len(verdict.problems)} problems; logs in {place}"
+            f"seed {seed}: {result.accepted_count} jobs, {result.start_count} starts, "
+            f"{len(result.problems)} problems; logs in {seed_folder}"
         )
-        for problem in verdict.problems[:10]:
+        for problem in result.problems[:10]:
             click.echo(f"  {problem}")
-    sys.exit(1 if is_broken else 0)
+    sys.exit(1 if has_problems else 0)
 
 
 if __name__ == "__main__":
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -9,7 +9,7 @@
 import orjson
 from aiohttp import web
 
-from tests.soak.http import abort, json_answer
+from tests.soak.http import abort_connection, make_json_response
 
 RowId = tuple[str, str]
 
@@ -24,61 +24,65 @@
     """
 
     def __init__(self, random: Random) -> None:
-        self.is_down = False
-        self.delay_s = 0.0
-        self.lost_share = 0.0
-        self.late_s = 0.0
+        self.is_unavailable = False
+        self.answer_delay_s = 0.0
+        self.answer_loss_probability = 0.0
+        self.late_commit_delay_s = 0.0
         self._random = random
         self._rows: dict[RowId, tuple[str, int]] = {}
         self._changes: list[tuple[int, RowId, str | None]] = []
-        self._dropped_through = 0
+        self._dropped_through_version = 0
         self._version = 0
-        self._changed = asyncio.Condition()
-        self._late: set[asyncio.Task[None]] = set()
+        self._rows_changed = asyncio.Condition()
+        self._late_commits: set[asyncio.Task[None]] = set()
 
-    async def put(self, table: str, key: str, value: str | None) -> None:
+    async def write_row(self, table: str, key: str, value: str | None) -> None:
         """Write a row on behalf of the operator or of a worker."""
-        self._apply([(table, key, value)])
-        async with self._changed:
-            self._changed.notify_all()
+        self._apply_writes([(table, key, value)])
+        async with self._rows_changed:
+            self._rows_changed.notify_all()
 
     def drop_history(self) -> None:
         """Forget all changes so far; feeds have to read again."""
         self._changes.clear()
-        self._dropped_through = self._version
+        self._dropped_through_version = self._version
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call."""
-        if self.delay_s:
-            await asyncio.sleep(self.delay_s)
-        if self.is_down:
-            return json_answer({}, 503)
+        if self.answer_delay_s:
+            await asyncio.sleep(self.answer_delay_s)
+        if self.is_unavailable:
+            return make_json_response({}, 503)
         if request.path == "/api/rows-tx":
             return await self._transact(request)
         if request.path == "/api/rows-get":
-            return self._get(request)
+            return self._read_rows(request)
         if request.path == "/api/rows-feed":
-            return await self._feed(request)
-        return json_answer({}, 404)
+            return await self._wait_for_changes(request)
+        return make_json_response({}, 404)
 
     async def _transact(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
             body = orjson.loads(await request.read())
         except ConnectionError:
-            return json_answer({}, 503)
-        is_lost = self._random.random() < self.lost_share
-        if is_lost and self.late_s:
-            task = asyncio.create_task(self._transact_late(body, self.late_s))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
-        elif (status := await self._commit(body)) != 200 and not is_lost:
-            return json_answer({"rows": [], "row_version": self._version}, status)
-        if is_lost:
-            abort(request)
-        return json_answer({"row_version": self._version}, 200)
-
-    async def _transact_late(self, body: dict[str, Any], seconds: float) -> None:
-        await asyncio.sleep(seconds)
+            return make_json_response({}, 503)
+        is_answer_lost = self._random.random() < self.answer_loss_probability
+        if is_answer_lost and self.late_commit_delay_s:
+            task = asyncio.create_task(
+                self._commit_late(body, self.late_commit_delay_s)
+            )
+            self._late_commits.add(task)
+            task.add_done_callback(self._late_commits.discard)
+        elif (status := await self._commit(body)) != 200 and not is_answer_lost:
+            return make_json_response(
+                {"rows": [], "row_version": self._version}, status
+            )
+        if is_answer_lost:
+            abort_connection(request)
+        return make_json_response({"row_version": self._version}, 200)
+
+    async def _commit_late(self, body: dict[str, Any], delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
         await self._commit(body)
 
     async def _commit(self, body: dict[str, Any]) -> int:
@@ -93,12 +97,12 @@
         writes += [
             (item["table"], item["key"], None) for item in body.get("remove", ())
         ]
-        self._apply(writes)
-        async with self._changed:
-            self._changed.notify_all()
+        self._apply_writes(writes)
+        async with self._rows_changed:
+            self._rows_changed.notify_all()
         return 200
 
-    def _apply(self, writes: list[tuple[str, str, str | None]]) -> None:
+    def _apply_writes(self, writes: list[tuple[str, str, str | None]]) -> None:
         self._version += 1
         for table, key, value in writes:
             if value is None:
@@ -107,19 +111,19 @@
                 self._rows[table, key] = (value, self._version)
             self._changes.append((self._version, (table, key), value))
 
-    def _get(self, request: web.BaseRequest) -> web.StreamResponse:
-        table, start = request.query["table"], request.query.get("from", "")
+    def _read_rows(self, request: web.BaseRequest) -> web.StreamResponse:
+        table, first_key = request.query["table"], request.query.get("from", "")
         limit = int(request.query.get("limit", "500"))
         keys = sorted(
             key
-            for of, key in self._rows
-            if of == table and key.encode() >= start.encode()
+            for row_table, key in self._rows
+            if row_table == table and key.encode() >= first_key.encode()
         )
-        rows = [self._row((table, key)) for key in keys[:limit]]
+        rows = [self._format_row((table, key)) for key in keys[:limit]]
         body = {"rows": rows, "has_more": len(keys) > limit}
-        return json_answer({**body, "row_version": self._version}, 200)
+        return make_json_response({**body, "row_version": self._version}, 200)
 
-    def _row(self, row_id: RowId) -> dict[str, Any]:
+    def _format_row(self, row_id: RowId) -> dict[str, Any]:
         value, version = self._rows[row_id]
         return {
             "table": row_id[0],
@@ -129,13 +133,13 @@
             "row_version": version,
         }
 
-    async def _feed(self, request: web.BaseRequest) -> web.StreamResponse:
-        table, after = request.query["table"], int(request.query["after"])
-        until_s = asyncio.get_running_loop().time()
-        until_s += int(request.query.get("wait_ms", "0")) / 1000
+    async def _wait_for_changes(self, request: web.BaseRequest) -> web.StreamResponse:
+        table, after_version = request.query["table"], int(request.query["after"])
+        deadline_s = asyncio.get_running_loop().time()
+        deadline_s += int(request.query.get("wait_ms", "0")) / 1000
         while True:
-            if after < self._dropped_through:
-                return json_answer({}, 410)
+            if after_version < self._dropped_through_version:
+                return make_json_response({}, 410)
             rows = [
                 {
                     "table": table,
@@ -146,13 +150,15 @@
                     "deleted": value is None,
                 }
                 for version, row_id, value in self._changes
-                if version > after and row_id[0] == table
+                if version > after_version and row_id[0] == table
             ]
-            left_s = until_s - asyncio.get_running_loop().time()
-            if rows or left_s <= 0:
-                return json_answer({"rows": rows, "row_version": self._version}, 200)
-            async with self._changed:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
+                return make_json_response(
+                    {"rows": rows, "row_version": self._version}, 200
+                )
+            async with self._rows_changed:
                 try:
-                    await asyncio.wait_for(self._changed.wait(), left_s)
+                    await asyncio.wait_for(self._rows_changed.wait(), remaining_s)
                 except TimeoutError:
                     continue
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -12,26 +12,26 @@
 from aiohttp import web
 from attrs import define, field
 
-from tests.soak.http import abort, json_answer
+from tests.soak.http import abort_connection, make_json_response
 from tests.soak.observer import Observer
 from tests.soak.store import StoreStandIn
 
 MAX_LEASE_MS = 6000
-CAPACITY_MILLIS = 4000
-CAPACITY_MB = 8000
-STOP_S = 0.05
-LEASE_CHECK_S = 0.05
-LATE_ORDER_S = (1.0, 6.0)
+CAPACITY_CPU_MILLIS = 4000
+CAPACITY_MEMORY_MB = 8000
+STOP_DURATION_S = 0.05
+LEASE_CHECK_INTERVAL_S = 0.05
+LATE_ORDER_DELAY_RANGE_S = (1.0, 6.0)
 
 
 @define(eq=False)
 class Run:
     """A run that is present."""
 
-    task: str
-    number: int
+    task_name: str
+    run_number: int
     cpu_millis: int
-    ending: asyncio.Task[None] | None = None
+    completion_task: asyncio.Task[None] | None = None
 
 
 @define(eq=False)
@@ -47,173 +47,191 @@
     worker_id: str
     observer: Observer
     random: Random
-    orders_lost: float = 0.0
-    failing: float = 0.02
+    order_loss_probability: float = 0.0
+    failure_probability: float = 0.02
     is_up: bool = True
-    born_ms: int = 0
-    fence: int = 0
+    started_ms: int = 0
+    fencing_token: int = 0
     lease_end_ms: int = 0
     runs: dict[str, Run] = field(factory=dict)
-    closed: dict[str, int] = field(factory=dict)
-    ends: list[list[Any]] = field(factory=list)
-    last_end: int = 0
-    _ended: asyncio.Event = field(factory=asyncio.Event)
-    _late: set[asyncio.Task[web.StreamResponse]] = field(factory=set)
-    _birth_s: float = 0.0
+    closed_runs: dict[str, int] = field(factory=dict)
+    unacknowledged_ends: list[list[Any]] = field(factory=list)
+    last_end_number: int = 0
+    _run_ended: asyncio.Event = field(factory=asyncio.Event)
+    _late_orders: set[asyncio.Task[web.StreamResponse]] = field(factory=set)
+    _started_s: float = 0.0
 
     @property
     def clock_ms(self) -> int:
         """The worker's own clock."""
-        return 1000 + int(1000 * (asyncio.get_running_loop().time() - self._birth_s))
+        return 1000 + int(1000 * (asyncio.get_running_loop().time() - self._started_s))
 
-    def be_born(self) -> None:
+    def start_incarnation(self) -> None:
         """Begin a life that knows nothing of the one before."""
-        self._birth_s = asyncio.get_running_loop().time()
-        self.born_ms += 1000
-        self.fence = self.lease_end_ms = self.last_end = 0
-        self.closed, self.ends = {}, []
+        self._started_s = asyncio.get_running_loop().time()
+        self.started_ms += 1000
+        self.fencing_token = self.lease_end_ms = self.last_end_number = 0
+        self.closed_runs, self.unacknowledged_ends = {}, []
         self.is_up = True
 
     def crash(self) -> None:
         """End everything at once; nothing is listed."""
         self.is_up = False
-        for task in list(self._late):
+        for task in list(self._late_orders):
             task.cancel()
         for run in list(self.runs.values()):
-            self._drop(run)
+            self._remove_run(run)
 
-    async def keep_leases(self) -> None:
+    async def enforce_lease(self) -> None:
         """Kill what runs once the lease has lapsed, until cancelled."""
         while True:
-            await asyncio.sleep(LEASE_CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.is_up and self.clock_ms > self.lease_end_ms:
                 for run in list(self.runs.values()):
-                    self._end(run, "lapsed")
+                    self._end_run(run, "lapsed")
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one call, late or never if orders are being lost."""
         if not self.is_up:
-            abort(request)
-            return json_answer({}, 503)
+            abort_connection(request)
+            return make_json_response({}, 503)
         if request.headers.get("X-Fuchsiadale-Expect-Instance") != self.worker_id:
-            return json_answer({}, 421)
+            return make_json_response({}, 421)
         try:
             body = orjson.loads(await request.read())
         except ConnectionError:
-            return json_answer({}, 503)
-        if self.random.random() < self.orders_lost:
-            task = asyncio.create_task(self._carry_out_late(request.path, body))
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
-            await asyncio.sleep(LATE_ORDER_S[1])
-            abort(request)
-            return json_answer({}, 503)
-        return await self._carry_out(request.path, body)
-
-    async def _carry_out_late(
+            return make_json_response({}, 503)
+        if self.random.random() < self.order_loss_probability:
+            task = asyncio.create_task(self._execute_order_late(request.path, body))
+            self._late_orders.add(task)
+            task.add_done_callback(self._late_orders.discard)
+            await asyncio.sleep(LATE_ORDER_DELAY_RANGE_S[1])
+            abort_connection(request)
+            return make_json_response({}, 503)
+        return await self._execute_order(request.path, body)
+
+    async def _execute_order_late(
         self, path: str, body: dict[str, Any]
     ) -> web.StreamResponse:
-        await asyncio.sleep(self.random.uniform(*LATE_ORDER_S))
-        return await self._carry_out(path, body)
+        await asyncio.sleep(self.random.uniform(*LATE_ORDER_DELAY_RANGE_S))
+        return await self._execute_order(path, body)
 
-    async def _carry_out(self, path: str, body: dict[str, Any]) -> web.StreamResponse:
-        if body.get("fencing_token", 0) < self.fence:
-            return self._reply({"reason": "fence"}, 409)
-        self.fence = body["fencing_token"]
+    async def _execute_order(
+        self, path: str, body: dict[str, Any]
+    ) -> web.StreamResponse:
+        if body.get("fencing_token", 0) < self.fencing_token:
+            return self._make_response({"reason": "fence"}, 409)
+        self.fencing_token = body["fencing_token"]
         if path == "/api/run-start":
-            return self._start(body)
+            return self._handle_start(body)
         if path == "/api/run-stop":
-            return await self._stop(body)
+            return await self._handle_stop(body)
         if path == "/api/hold":
-            return await self._hold(body)
-        return self._reply({}, 200)
-
-    def _start(self, body: dict[str, Any]) -> web.StreamResponse:
-        task, number = body["task"], body["run"]
-        self._renew(body["until_ms"])
-        present = self.runs.get(task)
-        if present is not None and present.number == number:
-            return self._reply({}, 200)
-        if number <= self.closed.get(task, 0):
-            return self._reply({"reason": "old"}, 409)
+            return await self._handle_poll(body)
+        return self._make_response({}, 200)
+
+    def _handle_start(self, body: dict[str, Any]) -> web.StreamResponse:
+        task_name, run_number = body["task"], body["run"]
+        self._renew_lease(body["until_ms"])
+        current_run = self.runs.get(task_name)
+        if current_run is not None and current_run.run_number == run_number:
+            return self._make_response({}, 200)
+        if run_number <= self.closed_runs.get(task_name, 0):
+            return self._make_response({"reason": "old"}, 409)
         if body["until_ms"] <= self.clock_ms:
-            return self._reply({"reason": "late"}, 409)
-        used = sum(run.cpu_millis for run in self.runs.values())
-        terms = self.observer.terms.get(task)
+            return self._make_response({"reason": "late"}, 409)
+        used_cpu_millis = sum(run.cpu_millis for run in self.runs.values())
+        specification = self.observer.specifications.get(task_name)
         now_s = asyncio.get_running_loop().time()
-        self.observer.note_start(task, self.worker_id, used, CAPACITY_MILLIS, now_s)
-        run = Run(task, number, terms.cpu_millis if terms else 0)
-        self.runs[task] = run
-        seconds = orjson.loads(body["spec"])["seconds"]
-        run.ending = asyncio.create_task(self._work(run, seconds))
-        return self._reply({}, 200)
-
-    async def _work(self, run: Run, seconds: float) -> None:
-        await asyncio.sleep(seconds)
-        run.ending = None
-        is_failing = self.random.random() < self.failing
-        self._end(run, "failed" if is_failing else "done")
-
-    async def _stop(self, body: dict[str, Any]) -> web.StreamResponse:
-        task, number = body["task"], body["run"]
-        self.closed[task] = max(number, self.closed.get(task, 0))
-        run = self.runs.get(task)
-        if run is not None and run.number <= number:
-            await asyncio.sleep(STOP_S)
-            if self.runs.get(task) is run:
-                self._end(run, "stopped")
-        return self._reply({}, 200)
-
-    async def _hold(self, body: dict[str, Any]) -> web.StreamResponse:
+        self.observer.record_start(
+            task_name, self.worker_id, used_cpu_millis, CAPACITY_CPU_MILLIS, now_s
+        )
+        run = Run(
+            task_name, run_number, specification.cpu_millis if specification else 0
+        )
+        self.runs[task_name] = run
+        duration_s = orjson.loads(body["spec"])["seconds"]
+        run.completion_task = asyncio.create_task(self._execute_run(run, duration_s))
+        return self._make_response({}, 200)
+
+    async def _execute_run(self, run: Run, duration_s: float) -> None:
+        await asyncio.sleep(duration_s)
+        run.completion_task = None
+        is_failing = self.random.random() < self.failure_probability
+        self._end_run(run, "failed" if is_failing else "done")
+
+    async def _handle_stop(self, body: dict[str, Any]) -> web.StreamResponse:
+        task_name, run_number = body["task"], body["run"]
+        self.closed_runs[task_name] = max(
+            run_number, self.closed_runs.get(task_name, 0)
+        )
+        run = self.runs.get(task_name)
+        if run is not None and run.run_number <= run_number:
+            await asyncio.sleep(STOP_DURATION_S)
+            if self.runs.get(task_name) is run:
+                self._end_run(run, "stopped")
+        return self._make_response({}, 200)
+
+    async def _handle_poll(self, body: dict[str, Any]) -> web.StreamResponse:
         if "until_ms" in body:
-            self._renew(body["until_ms"])
-        for end in self.ends:
+            self._renew_lease(body["until_ms"])
+        for end in self.unacknowledged_ends:
             if end[0] <= body["acked_through"] and end[3] == "done":
-                self.observer.acknowledged.add(end[1])
-        self.ends = [end for end in self.ends if end[0] > body["acked_through"]]
-        if not self.ends and body.get("wait_ms"):
-            self._ended.clear()
+                self.observer.acknowledged_tasks.add(end[1])
+        self.unacknowledged_ends = [
+            end for end in self.unacknowledged_ends if end[0] > body["acked_through"]
+        ]
+        if not self.unacknowledged_ends and body.get("wait_ms"):
+            self._run_ended.clear()
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._ended.wait(), body["wait_ms"] / 1000)
-        running = [[run.task, run.number, "", 50, 100] for run in self.runs.values()]
-        return self._reply({"running": running, "finished": self.ends}, 200)
-
-    def _renew(self, until_ms: int) -> None:
+                await asyncio.wait_for(self._run_ended.wait(), body["wait_ms"] / 1000)
+        running_rows = [
+            [run.task_name, run.run_number, "", 50, 100] for run in self.runs.values()
+        ]
+        return self._make_response(
+            {"running": running_rows, "finished": self.unacknowledged_ends}, 200
+        )
+
+    def _renew_lease(self, until_ms: int) -> None:
         until_ms = min(until_ms, self.clock_ms + MAX_LEASE_MS)
         self.lease_end_ms = max(self.lease_end_ms, until_ms)
 
-    def _end(self, run: Run, how: str) -> None:
-        self._drop(run)
-        self.observer.note_end(run.task, self.worker_id, how == "done")
-        self.closed[run.task] = max(run.number, self.closed.get(run.task, 0))
-        self.last_end += 1
-        self.ends.append([self.last_end, run.task, run.number, how, ""])
-        self._ended.set()
-
-    def _drop(self, run: Run) -> None:
-        if run.ending is not None:
-            run.ending.cancel()
-        if self.runs.get(run.task) is run:
-            del self.runs[run.task]
-        self.observer.note_end(run.task, self.worker_id, False)
-
-    def _reply(self, body: dict[str, Any], status: int) -> web.Response:
-        body = {**body, "clock_ms": self.clock_ms, "born": self.born_ms}
-        return json_answer(body, status)
-
-
-async def register(store: StoreStandIn, worker: Worker, address: str) -> None:
+    def _end_run(self, run: Run, end_kind: str) -> None:
+        self._remove_run(run)
+        self.observer.record_end(run.task_name, self.worker_id, end_kind == "done")
+        self.closed_runs[run.task_name] = max(
+            run.run_number, self.closed_runs.get(run.task_name, 0)
+        )
+        self.last_end_number += 1
+        self.unacknowledged_ends.append(
+            [self.last_end_number, run.task_name, run.run_number, end_kind, ""]
+        )
+        self._run_ended.set()
+
+    def _remove_run(self, run: Run) -> None:
+        if run.completion_task is not None:
+            run.completion_task.cancel()
+        if self.runs.get(run.task_name) is run:
+            del self.runs[run.task_name]
+        self.observer.record_end(run.task_name, self.worker_id, False)
+
+    def _make_response(self, body: dict[str, Any], status: int) -> web.Response:
+        body = {**body, "clock_ms": self.clock_ms, "born": self.started_ms}
+        return make_json_response(body, status)
+
+
+async def register_worker(store: StoreStandIn, worker: Worker, address: str) -> None:
     """Write a worker's registration, as it writes it itself."""
-    entry = {
+    registration = {
         "service": "pool",
         "address": address,
         "zone": "zone",
         "version": "1",
         "slots": 8,
         "state": "ready",
-        "capacity": {"cpu": CAPACITY_MILLIS, "mem_mb": CAPACITY_MB},
+        "capacity": {"cpu": CAPACITY_CPU_MILLIS, "mem_mb": CAPACITY_MEMORY_MB},
         "labels": ["a", "rack-1"],
-        "born": worker.born_ms,
+        "born": worker.started_ms,
     }
-    value = b64encode(orjson.dumps(entry)).decode()
-    await store.put("servers", worker.worker_id, value)
+    value = b64encode(orjson.dumps(registration)).decode()
+    await store.write_row("servers", worker.worker_id, value)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,81 +7,86 @@
 
 import pytest
 
-from tests.soak.observer import CANCEL_S, Observer, TaskTerms
-from tests.soak.run import play
+from tests.soak.observer import CANCEL_GRACE_S, Observer, TaskSpecification
+from tests.soak.run import run_seed
 
-JOB = "0" * 16
-FIRST, SECOND = f"{JOB}.0.0.0", f"{JOB}.0.1.0"
-ROOM = 4000
+JOB_ID = "0" * 16
+FIRST_TASK, SECOND_TASK = f"{JOB_ID}.0.0.0", f"{JOB_ID}.0.1.0"
+CAPACITY_CPU_MILLIS = 4000
 
-SHORT_S = 8.0
+SHORT_FAULT_PERIOD_S = 8.0
 """Seconds of faults of a short run; by hand it is 20."""
 
 
 @pytest.fixture
 def observer() -> Observer:
-    terms = {FIRST: TaskTerms(3000, ()), SECOND: TaskTerms(1000, (FIRST,))}
+    terms = {
+        FIRST_TASK: TaskSpecification(3000, ()),
+        SECOND_TASK: TaskSpecification(1000, (FIRST_TASK,)),
+    }
     return Observer(terms)
 
 
-def test_sound_course_of_a_job_is_no_problem(observer: Observer) -> None:
-    observer.note_start(FIRST, "a", 0, ROOM, 1.0)
-    observer.note_end(FIRST, "a", True)
-    observer.note_start(SECOND, "b", 0, ROOM, 2.0)
-    observer.note_end(SECOND, "b", True)
-    observer.note_state(JOB, "completed")
-    observer.check_refused()
+def test_job_that_runs_in_order_yields_no_problem(observer: Observer) -> None:
+    observer.record_start(FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
+    observer.record_end(FIRST_TASK, "a", True)
+    observer.record_start(SECOND_TASK, "b", 0, CAPACITY_CPU_MILLIS, 2.0)
+    observer.record_end(SECOND_TASK, "b", True)
+    observer.check_reported_state(JOB_ID, "completed")
+    observer.check_refused_jobs()
     assert observer.problems == []
 
 
-def test_task_in_two_places_is_found(observer: Observer) -> None:
-    observer.note_start(FIRST, "a", 0, ROOM, 1.0)
-    observer.note_start(FIRST, "b", 0, ROOM, 1.0)
+def test_task_running_on_two_workers_is_a_problem(observer: Observer) -> None:
+    observer.record_start(FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
+    observer.record_start(FIRST_TASK, "b", 0, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
 
 
-def test_start_after_an_acknowledged_end_is_found(observer: Observer) -> None:
-    observer.acknowledged.add(FIRST)
-    observer.note_start(FIRST, "a", 0, ROOM, 1.0)
+def test_start_after_acknowledged_end_is_a_problem(observer: Observer) -> None:
+    observer.acknowledged_tasks.add(FIRST_TASK)
+    observer.record_start(FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
 
 
-def test_overfilled_worker_is_found(observer: Observer) -> None:
-    observer.note_start(FIRST, "a", 2000, ROOM, 1.0)
+def test_start_beyond_worker_capacity_is_a_problem(observer: Observer) -> None:
+    observer.record_start(FIRST_TASK, "a", 2000, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
 
 
-def test_start_before_its_predecessors_is_found(observer: Observer) -> None:
-    observer.note_start(SECOND, "a", 0, ROOM, 1.0)
+def test_start_before_predecessor_ends_is_a_problem(observer: Observer) -> None:
+    observer.record_start(SECOND_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
 
 
-def test_start_long_after_a_cancel_is_found(observer: Observer) -> None:
-    observer.cancelled_s[JOB] = 1.0
-    observer.note_start(FIRST, "a", 0, ROOM, 1.0 + CANCEL_S + 0.1)
+def test_start_after_cancel_grace_period_is_a_problem(observer: Observer) -> None:
+    observer.cancel_times_s[JOB_ID] = 1.0
+    observer.record_start(
+        FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0 + CANCEL_GRACE_S + 0.1
+    )
     assert len(observer.problems) == 1
 
 
-def test_unasked_start_refused_job_and_false_completion_are_found(
+def test_unsubmitted_task_false_completion_and_refused_job_are_problems(
     observer: Observer,
 ) -> None:
-    observer.note_start("f" * 16 + ".0.0.0", "a", 0, ROOM, 1.0)
-    observer.note_state(JOB, "completed")
-    observer.note_start(FIRST, "a", 0, ROOM, 1.0)
-    observer.refused_jobs.add(JOB)
-    observer.check_refused()
+    observer.record_start("f" * 16 + ".0.0.0", "a", 0, CAPACITY_CPU_MILLIS, 1.0)
+    observer.check_reported_state(JOB_ID, "completed")
+    observer.record_start(FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
+    observer.refused_jobs.add(JOB_ID)
+    observer.check_refused_jobs()
     assert len(observer.problems) == 3
 
 
 @pytest.mark.processes
-def test_short_soak_breaks_no_promise(tmp_path: Path) -> None:
-    verdict = asyncio.run(play(7, tmp_path, SHORT_S))
-    assert verdict.problems == ()
-    assert verdict.starts > 0
+def test_short_soak_with_all_faults_yields_no_problem(tmp_path: Path) -> None:
+    result = asyncio.run(run_seed(7, tmp_path, SHORT_FAULT_PERIOD_S))
+    assert result.problems == ()
+    assert result.start_count > 0
 
 
 @pytest.mark.processes
-def test_planned_stops_in_series_cut_no_call(tmp_path: Path) -> None:
-    verdict = asyncio.run(play(501, tmp_path, SHORT_S, ("stop_node",)))
-    assert verdict.problems == ()
-    assert verdict.cut == ()
+def test_repeated_planned_stops_interrupt_no_call(tmp_path: Path) -> None:
+    result = asyncio.run(run_seed(501, tmp_path, SHORT_FAULT_PERIOD_S, ("stop_node",)))
+    assert result.problems == ()
+    assert result.interrupted_calls == ()
