--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, promises checked."""
+"""Soak test: injects random faults into real processes and checks guarantees."""
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers that submit, ask, cancel and try again, and what they are told."""
+"""Clients that submit jobs, retry, request job states and cancel jobs."""
 
 from __future__ import annotations
 
@@ -23,14 +23,22 @@
 
 @define(eq=False)
 class JobClients:
-    """Submits jobs until told to stop.
+    """Submits random jobs to random nodes on behalf of many clients.
 
     Attributes
     ----------
-    accepted : dict of str to str
-        What became of the jobs that were accepted.
-    cut : list of str
-        Calls whose connection was there and that got no answer.
+    nodes : list of Node
+        Processes that the clients call.
+    observer : Observer
+        Learns of each job's tasks, of refusals and of cancels, and checks the job
+        states that the clients receive.
+    random : Random
+        Source of the jobs, of the clients' actions and of the times between them.
+    accepted_jobs : dict of str to str
+        By job id: "accepted", "cancelled" once a cancel was acknowledged, or "perhaps
+        cancelled" if a cancel was sent without an acknowledgement.
+    interrupted_calls : list of str
+        Calls that reached a node but got no complete answer, with the error of each.
     """
 
     nodes: list[Node]
@@ -39,18 +47,18 @@
     accepted_jobs: dict[str, str] = field(factory=dict)
     interrupted_calls: list[str] = field(factory=list)
 
-    async def submit_until(self, stop: asyncio.Event, jobs_per_s: float) -> None:
-        """Submit jobs at a rate, each by a caller of its own."""
+    async def submit_until(self, stop_event: asyncio.Event, jobs_per_s: float) -> None:
+        """Start a client for each job, at a mean rate, until `stop_event` is set."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            calls: set[asyncio.Task[None]] = set()
-            while not stop.is_set():
-                calls.add(asyncio.create_task(self._run_client(session)))
+            client_tasks: set[asyncio.Task[None]] = set()
+            while not stop_event.is_set():
+                client_tasks.add(asyncio.create_task(self._run_client(session)))
                 await asyncio.sleep(self.random.expovariate(jobs_per_s))
-            await asyncio.gather(*calls)
+            await asyncio.gather(*client_tasks)
 
     async def fetch_state(self, job_id: str) -> str | None:
-        """Return a job's state, or None without an answer."""
+        """Return the state of a job, or None if the call does not succeed."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             status, body = await self._call(session, "GET", job_id, None)
@@ -92,7 +100,7 @@
             self.observer.cancel_times_s[job_id] = now_s
             self.accepted_jobs[job_id] = "cancelled"
         else:
-            # The cancel may have been stored without the answer.
+            # The cancel may be stored although its acknowledgement was lost.
             self.accepted_jobs[job_id] = "perhaps cancelled"
 
     async def _call(
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn from a seed: in series, and overlapping."""
+"""Random faults, reproducible from a seed, that may overlap in time."""
 
 from __future__ import annotations
 
@@ -15,15 +15,31 @@
 from tests.soak.workers import Worker, register_worker
 
 FAULT_DURATION_RANGE_S = (0.3, 4.0)
-"""Shortest and longest fault, in seconds."""
+"""Shortest and longest duration that is drawn for a fault, in seconds."""
 
 FAULTS_PER_S = 0.6
-"""Mean rate of new faults; about one and a half are under way at once."""
+"""Mean number of new faults per second; about 1.5 faults are active at a time."""
 
 
 @define(eq=False)
 class FaultTargets:
-    """Everything that faults act on."""
+    """The processes, stand-ins and proxies that faults act on.
+
+    Attributes
+    ----------
+    nodes : list of Node
+        Processes of the cell.
+    store : StoreStandIn
+        Store that all nodes use.
+    store_proxies : list of Proxy
+        Proxy between each node and the store, in the order of `nodes`.
+    workers : list of Worker
+        Stand-ins of the workers.
+    worker_proxies : list of Proxy
+        Proxy in front of each worker, in the order of `workers`.
+    worker_addresses : list of str
+        Host and port of each of `worker_proxies`, which its worker registers.
+    """
 
     nodes: list[Node]
     store: StoreStandIn
@@ -52,16 +68,16 @@
 
 @define(eq=False)
 class FaultInjector:
-    """Applies faults until its time is up, then heals everything.
+    """Injects faults of random kinds at random times; each fault ends by itself.
 
     Attributes
     ----------
-    around : Surroundings
-        What they act on.
+    targets : FaultTargets
+        What the faults act on.
     random : Random
-        Decides which, when and how long.
+        Decides the kind, target, start and duration of each fault.
     kinds : tuple of str
-        Names of the methods to draw from.
+        Kinds of faults to draw from; each is the name of a method of this class.
     """
 
     targets: FaultTargets
@@ -69,7 +85,7 @@
     kinds: tuple[str, ...] = ALL_FAULT_KINDS
 
     async def run(self, total_s: float, log: Callable[[str], None]) -> None:
-        """Apply faults at random times; return once all have ended."""
+        """Start faults for `total_s` seconds; return once all of them have ended."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + total_s
         fault_tasks = []
@@ -82,37 +98,37 @@
         await asyncio.gather(*fault_tasks)
 
     async def kill_node(self, duration_s: float) -> None:
-        """Kill a process, and start it again."""
+        """Kill a node and start it again after half of the duration."""
         await self._kill_and_restart(
             [self.random.choice(self.targets.nodes)], duration_s / 2
         )
 
     async def kill_all(self, duration_s: float) -> None:
-        """Kill every process at once, and start them again."""
+        """Kill all nodes at once and start them again after half of the duration."""
         await self._kill_and_restart(self.targets.nodes, duration_s / 2)
 
     async def stop_node(self, duration_s: float) -> None:
-        """Stop a process as planned work does, and start it again."""
+        """Stop a node with SIGTERM, as for planned maintenance; restart after 6 s."""
         node = self.random.choice(self.targets.nodes)
         node.send_signal(SIGTERM)
         await asyncio.sleep(6.0)
         await self._kill_and_restart([node], 0.1)
 
     async def pause_node(self, duration_s: float) -> None:
-        """Let a process stand still."""
+        """Suspend a node with SIGSTOP, and resume it after the duration."""
         node = self.random.choice(self.targets.nodes)
         node.send_signal(SIGSTOP)
         await asyncio.sleep(duration_s)
         node.send_signal(SIGCONT)
 
     async def take_store_down(self, duration_s: float) -> None:
-        """Let the store refuse everything."""
+        """Make the store answer every request with an error."""
         self.targets.store.is_unavailable = True
         await asyncio.sleep(duration_s)
         self.targets.store.is_unavailable = False
 
     async def lose_store_answers(self, duration_s: float) -> None:
-        """Lose answers of transactions, some of which are carried out late."""
+        """Drop answers to transactions, which may also be committed with a delay."""
         store = self.targets.store
         store.answer_loss_probability = 0.3
         store.late_commit_delay_s = self.random.choice(
@@ -122,34 +138,34 @@
         store.answer_loss_probability = store.late_commit_delay_s = 0.0
 
     async def slow_store(self, duration_s: float) -> None:
-        """Let the store answer slowly."""
+        """Delay every answer of the store."""
         self.targets.store.answer_delay_s = self.random.uniform(0.05, 0.25)
         await asyncio.sleep(duration_s)
         self.targets.store.answer_delay_s = 0.0
 
     async def forget_history(self, duration_s: float) -> None:
-        """Let the store drop its history."""
+        """Discard the store's change history, so that nodes read all rows again."""
         self.targets.store.drop_history()
 
     async def cut_node_from_store(self, duration_s: float) -> None:
-        """Part one process from the store, one way or both."""
+        """Delay, refuse or drop traffic between a node and the store."""
         proxy = self.random.choice(self.targets.store_proxies)
         await self._disrupt_link(proxy, duration_s)
 
     async def reset_connections(self, duration_s: float) -> None:
-        """Reset the connections to the store and to the workers."""
+        """Reset the connections of each proxy with a probability of one half."""
         for proxy in self.targets.store_proxies + self.targets.worker_proxies:
             if self.random.random() < 0.5:
                 proxy.reset()
 
     async def harm_worker_link(self, duration_s: float) -> None:
-        """Delay, silence or cut the way to a worker, one way or both."""
+        """Delay, refuse or drop traffic between the nodes and a worker."""
         await self._disrupt_link(
             self.random.choice(self.targets.worker_proxies), duration_s
         )
 
     async def crash_worker(self, duration_s: float) -> None:
-        """Let a worker crash and start again under its id."""
+        """Crash a worker and start it again under the same id after the duration."""
         index = self.random.randrange(len(self.targets.workers))
         worker = self.targets.workers[index]
         if not worker.is_up:
@@ -162,7 +178,7 @@
         await register_worker(self.targets.store, worker, address)
 
     async def lose_orders(self, duration_s: float) -> None:
-        """Leave orders to a worker unanswered and carry them out late."""
+        """Make a worker leave some orders unanswered and execute them late."""
         worker = self.random.choice(self.targets.workers)
         worker.order_loss_probability = self.random.choice((0.1, 0.3, 0.8))
         await asyncio.sleep(duration_s)
--- a/tests/soak/http.py
+++ b/tests/soak/http.py
@@ -1,4 +1,4 @@
-"""Answers of the soak's stand-ins."""
+"""HTTP responses of the stand-ins of the store and of workers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def make_json_response(body: dict[str, Any], status: int) -> web.Response:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     return web.Response(
         body=orjson.dumps(body), status=status, content_type="application/json"
     )
 
 
 def abort_connection(request: web.BaseRequest) -> None:
-    """Reset the connection that a request came on."""
+    """Abort the connection that carried a request, so that it gets no response."""
     if request.transport is not None:
         request.transport.abort()
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The real processes of a cell, each signalled and ended by its own id."""
+"""Processes of a cell, which receive signals only by their own process id."""
 
 from __future__ import annotations
 
@@ -17,18 +17,24 @@
 
 @define(eq=False)
 class Node:
-    """One process and its settings.
+    """A scheduler process, and the settings with which it is started.
 
     Attributes
     ----------
     name : str
-        The machine's name.
+        Name of the node, also of its settings file and log file.
     ip : str
-        Its loopback address.
+        Loopback address on which the process listens.
     store_address : str
-        Where it finds the store: a proxy of its own.
+        Host and port of the store, or of a proxy in front of it.
     folder : Path
-        Takes its settings and its log.
+        Folder that holds the settings file and the log file.
+    process : Popen or None
+        The process that was started last; None before the first start.
+    start_count : int
+        Number of times that the process was started.
+    should_run : bool
+        False once the node is killed for good; nothing reads it.
     """
 
     name: str
@@ -41,16 +47,16 @@
 
     @property
     def url(self) -> str:
-        """Where it answers callers."""
+        """URL at which the process serves clients."""
         return f"http://{self.ip}:{CLIENT_PORT}"
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def start(self) -> None:
-        """Start the process."""
+        """Write the settings file and start the process."""
         settings_file = self.folder / f"{self.name}.conf"
         settings_file.write_text(self._format_settings())
         self.start_count += 1
@@ -68,12 +74,12 @@
         log_file.close()
 
     def send_signal(self, signal_number: Signals) -> None:
-        """Signal the process if it runs."""
+        """Send a signal to the process if it is running."""
         if self.is_running and self.process is not None:
             self.process.send_signal(signal_number)
 
     def kill(self) -> None:
-        """End the process for good."""
+        """Kill the process for good and wait until it has exited."""
         self.should_run = False
         self.send_signal(SIGCONT)
         self.send_signal(SIGKILL)
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -1,4 +1,4 @@
-"""What workers and callers saw, and the promises that it has to keep."""
+"""Records what workers and clients observe, and checks it against guarantees."""
 
 from __future__ import annotations
 
@@ -7,7 +7,15 @@
 
 @frozen
 class TaskSpecification:
-    """What a submitted task takes and waits for."""
+    """Requirements of a submitted task.
+
+    Attributes
+    ----------
+    cpu_millis : int
+        CPU that the task requires, in thousandths of a core.
+    predecessors : tuple of str
+        Names of the tasks that must succeed before the task may start.
+    """
 
     cpu_millis: int
     predecessors: tuple[str, ...]
@@ -15,7 +23,29 @@
 
 @define
 class Observer:
-    """Collects what breaks a promise; nothing is forgotten."""
+    """Records the course of all jobs and collects violated guarantees.
+
+    Attributes
+    ----------
+    specifications : dict of str to TaskSpecification
+        Requirements of each submitted task, by task name.
+    running_workers : dict of str to set of str
+        Ids of the workers that run a task, by task name.
+    started_jobs : set of str
+        Ids of the jobs of which at least one task has started.
+    succeeded_tasks : set of str
+        Names of the tasks that have succeeded.
+    acknowledged_tasks : set of str
+        Names of the tasks whose success the scheduler has acknowledged to the worker.
+    refused_jobs : set of str
+        Ids of the jobs whose every submission was refused.
+    cancel_times_s : dict of str to float
+        Event loop time at which a cancel was acknowledged, in seconds, by job id.
+    problems : list of str
+        A sentence on each violation so far.
+    start_count : int
+        Number of starts so far.
+    """
 
     specifications: dict[str, TaskSpecification] = field(factory=dict)
     running_workers: dict[str, set[str]] = field(factory=dict)
@@ -35,25 +65,40 @@
         capacity_cpu_millis: int,
         now_s: float,
     ) -> None:
-        """Check a start; `used_millis` counts what the worker already runs."""
+        """Record the start of a task on a worker and check that it is allowed.
+
+        Parameters
+        ----------
+        task_name : str
+            Name of the task.
+        worker_id : str
+            Worker that starts the task.
+        used_cpu_millis, capacity_cpu_millis : int
+            CPU that the worker's other runs use and CPU that the worker has, in
+            thousandths of a core.
+        now_s : float
+            Event loop time of the start, in seconds.
+        """
         self.start_count += 1
         job_id = task_name.partition(".")[0]
         specification = self.specifications.get(task_name)
         if specification is None:
-            self._add_problem(f"{task_name} was started and nobody asked for it")
+            self._add_problem(f"{task_name} was started but never submitted")
             return
         worker_ids = self.running_workers.setdefault(task_name, set())
         if worker_ids:
             self._add_problem(
-                f"{task_name} runs on {worker_id} and on {sorted(worker_ids)}"
+                f"{task_name} was started on {worker_id} and still runs on "
+                f"{sorted(worker_ids)}"
             )
         if task_name in self.acknowledged_tasks:
             self._add_problem(
-                f"{task_name} was started again after its end was acknowledged"
+                f"{task_name} was started again after its success was acknowledged"
             )
         if used_cpu_millis + specification.cpu_millis > capacity_cpu_millis:
             self._add_problem(
-                f"{worker_id} has {used_cpu_millis} and takes {specification.cpu_millis}"
+                f"{worker_id} exceeds its CPU capacity: {used_cpu_millis} millicores "
+                f"were in use and {specification.cpu_millis} were added"
             )
         unfinished_tasks = [
             predecessor
@@ -61,40 +106,47 @@
             if predecessor not in self.succeeded_tasks
         ]
         if unfinished_tasks:
-            self._add_problem(f"{task_name} was started before {unfinished_tasks}")
+            self._add_problem(
+                f"{task_name} was started before {unfinished_tasks} succeeded"
+            )
         cancelled_s = self.cancel_times_s.get(job_id)
         if cancelled_s is not None and now_s - cancelled_s > CANCEL_GRACE_S:
             self._add_problem(
-                f"{task_name} was started {now_s - cancelled_s:.1f} s after its cancel"
+                f"{task_name} was started {now_s - cancelled_s:.1f} s after the cancel "
+                "of its job"
             )
         worker_ids.add(worker_id)
         self.started_jobs.add(job_id)
 
     def record_end(self, task_name: str, worker_id: str, has_succeeded: bool) -> None:
-        """Note that a run has ended, however it did."""
+        """Record the end of a run of a task, successful or not."""
         self.running_workers.get(task_name, set()).discard(worker_id)
         if has_succeeded:
             self.succeeded_tasks.add(task_name)
 
     def check_reported_state(self, job_id: str, state: str) -> None:
-        """Check what a caller was told of a job."""
+        """Check a job state that a client has received."""
         task_names = [
             task_name
             for task_name in self.specifications
             if task_name.startswith(f"{job_id}.")
         ]
         if state == "completed" and not self.succeeded_tasks.issuperset(task_names):
-            self._add_problem(f"{job_id} was told as completed and is not")
+            self._add_problem(
+                f"{job_id} was reported as completed before all its tasks succeeded"
+            )
 
     def check_refused_jobs(self) -> None:
-        """Check that what was refused did not run."""
+        """Check that no task of a refused job has started."""
         for job_id in self.refused_jobs & self.started_jobs:
-            self._add_problem(f"{job_id} was refused by every try and ran")
+            self._add_problem(
+                f"{job_id} was started although every submission was refused"
+            )
 
     def _add_problem(self, problem: str) -> None:
         self.problems.append(problem)
 
 
 CANCEL_GRACE_S = 6.0
-"""Seconds after an acknowledged cancel in which a start is allowed: 3 s in calm
-times by contract, and the 3 s after a disturbance in which it does not hold."""
+"""Seconds after an acknowledged cancel during which a task may still start: the
+contract allows 3 s in fault-free operation and does not hold for 3 s after a fault."""
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, drops, silences and resets connections."""
+"""A loopback TCP proxy that delays, drops or refuses traffic on demand."""
 
 from __future__ import annotations
 
@@ -10,7 +10,21 @@
 
 
 class ProxyMode(Enum):
-    """What a proxy does with what it is given."""
+    """How a proxy treats connections and data.
+
+    Attributes
+    ----------
+    OPEN
+        Forward data in both directions.
+    REFUSE
+        Abort new connections; existing ones are served as in `OPEN`.
+    SILENT
+        Drop data in both directions.
+    DROP_CALLS
+        Drop data from the client to the target.
+    DROP_ANSWERS
+        Drop data from the target to the client.
+    """
 
     OPEN = "open"
     REFUSE = "refuse"
@@ -20,17 +34,25 @@
 
 
 class Proxy:
-    """Stands between callers and one address.
+    """Forwards TCP connections of clients to one target address.
 
-    A connection that lost bytes stays silent for good, also after the proxy is open
-    again, as if something between its ends had forgotten it.
+    Once data in one direction of a connection is dropped, all later data in that
+    direction is dropped too, even after the mode is `OPEN` again, as if a device on
+    the network path had lost the connection's state.
 
     Parameters
     ----------
     host : str
-        Where it listens, and where its target listens.
+        Address on which both the proxy and its target listen.
     target_port : int
-        The target's port.
+        Port on which the target listens.
+
+    Attributes
+    ----------
+    mode : ProxyMode
+        How connections and data are treated; may change at any time.
+    delay_s : float
+        Delay of each chunk of forwarded data, in seconds.
     """
 
     def __init__(self, host: str, target_port: int) -> None:
@@ -42,19 +64,19 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen; return the port."""
+        """Listen on a free port and return the port."""
         self._server = await asyncio.start_server(
             self._handle_connection, self._host, 0
         )
         return int(self._server.sockets[0].getsockname()[1])
 
     def reset(self) -> None:
-        """Reset every connection."""
+        """Abort every connection; keep listening."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and abort every connection."""
         self._server.close()
         self.reset()
         for task in list(self._tasks):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed of the soak, or many from the command line."""
+"""Runs the soak test with one seed, or from the command line with several."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 JOBS_PER_S = 3.0
 FAULT_PERIOD_S = 20.0
 STARTUP_DELAY_S = 2.0
-"""Seconds that the processes are given to start."""
+"""Seconds that the processes have to start before jobs are submitted."""
 
 FAULT_FREE_PERIOD_S = 1.0
-"""Seconds of traffic before the first fault."""
+"""Seconds in which jobs are submitted before the first fault."""
 
 POLL_INTERVAL_S = 0.5
-"""Seconds between two rounds of questions for jobs that have not ended."""
+"""Seconds between two polls of the states of all jobs that have not ended."""
 
 COMPLETION_TIMEOUT_S = 60.0
-"""Seconds after the last fault in which every accepted job has to end."""
+"""Seconds after the last fault within which every accepted job must end."""
 
 FINAL_STATES = frozenset({"completed", "failed", "cancelled"})
 LOOPBACK_IP = "127.0.0.1"
@@ -44,7 +44,21 @@
 
 @frozen
 class SeedResult:
-    """What one seed showed."""
+    """Result of a soak test with one seed.
+
+    Attributes
+    ----------
+    seed : int
+        Seed of all random decisions.
+    problems : tuple of str
+        A sentence on each violated guarantee.
+    accepted_count : int
+        Number of jobs that were accepted.
+    start_count : int
+        Number of runs that workers started.
+    interrupted_calls : tuple of str
+        Calls of clients that reached a node but got no complete answer.
+    """
 
     seed: int
     problems: tuple[str, ...]
@@ -59,9 +73,26 @@
     fault_period_s: float = FAULT_PERIOD_S,
     fault_kinds: tuple[str, ...] = ALL_FAULT_KINDS,
 ) -> SeedResult:
-    """Play one seed over real processes and return what broke a promise."""
+    """Run the soak test with one seed over real processes.
+
+    Parameters
+    ----------
+    seed : int
+        Seed of all random decisions.
+    folder : Path
+        Folder that holds settings files, logs and the list of injected faults.
+    fault_period_s : float
+        Time during which faults are injected, in seconds.
+    fault_kinds : tuple of str
+        Kinds of faults to draw from.
+
+    Returns
+    -------
+    SeedResult
+        Violated guarantees and counts.
+    """
     random = Random(seed)
-    # Runs side by side must not share addresses.
+    # Soak tests that run concurrently must not share loopback addresses.
     process_id = os.getpid()
     network_prefix = f"127.{1 + process_id % 250}.{1 + process_id // 250 % 250}"
     observer = Observer()
@@ -114,9 +145,9 @@
 async def _run_faults_under_load(
     injector: FaultInjector, clients: JobClients, folder: Path, fault_period_s: float
 ) -> None:
-    stop = asyncio.Event()
+    stop_event = asyncio.Event()
     await asyncio.sleep(STARTUP_DELAY_S)
-    submitting = asyncio.create_task(clients.submit_until(stop, JOBS_PER_S))
+    submission_task = asyncio.create_task(clients.submit_until(stop_event, JOBS_PER_S))
     await asyncio.sleep(FAULT_FREE_PERIOD_S)
     with (folder / "faults.log").open("a") as file:
         loop = asyncio.get_running_loop()
@@ -126,14 +157,14 @@
             file.flush()
 
         await injector.run(fault_period_s, log)
-    stop.set()
-    await submitting
+    stop_event.set()
+    await submission_task
     await _wait_for_jobs(clients)
     clients.observer.check_refused_jobs()
 
 
 async def _wait_for_jobs(clients: JobClients) -> None:
-    """Wait until every accepted job has ended; report those that do not."""
+    """Wait until every accepted job has ended; record jobs that do not as problems."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + COMPLETION_TIMEOUT_S
     pending_jobs = set(clients.accepted_jobs)
@@ -147,12 +178,14 @@
                 _check_final_state(clients, job_id, state)
         await asyncio.sleep(POLL_INTERVAL_S)
     for job_id in sorted(pending_jobs):
-        clients.observer.problems.append(f"{job_id} was accepted and has not ended")
+        clients.observer.problems.append(f"{job_id} was accepted but has not ended")
 
 
 def _check_final_state(clients: JobClients, job_id: str, state: str | None) -> None:
     if state == "cancelled" and clients.accepted_jobs[job_id] == "accepted":
-        clients.observer.problems.append(f"{job_id} was told as cancelled and was not")
+        clients.observer.problems.append(
+            f"{job_id} was reported as cancelled without a cancel"
+        )
 
 
 async def _write_configuration(store: StoreStandIn) -> None:
@@ -192,12 +225,20 @@
 
 
 @click.command()
-@click.option("--first", default=1, help="The first seed.")
-@click.option("--count", default=1, help="How many seeds.")
-@click.option("--seconds", default=FAULT_PERIOD_S, help="Seconds of faults a seed.")
-@click.option("--folder", type=click.Path(path_type=Path), help="Takes the logs.")
+@click.option("--first", default=1, help="First seed.")
+@click.option("--count", default=1, help="Number of consecutive seeds.")
+@click.option(
+    "--seconds",
+    default=FAULT_PERIOD_S,
+    help="Seconds in which faults are injected, per seed.",
+)
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    help="Folder for settings and logs; a temporary one by default.",
+)
 def main(first: int, count: int, seconds: float, folder: Path | None) -> None:
-    """Play seeds; exit with 1 if any of them broke a promise."""
+    """Run the soak test with each seed; exit with 1 if any guarantee was violated."""
     root = folder or Path(tempfile.mkdtemp(prefix="soak-"))
     has_problems = False
     for seed in range(first, first + count):
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' store: rows in tables, transactions and feeds."""
+"""Stand-in of the platform's store: tables of rows, transactions and change feeds."""
 
 from __future__ import annotations
 
@@ -15,12 +15,24 @@
 
 
 class StoreStandIn:
-    """Keeps rows in memory and misbehaves as it is told.
+    """Serves the store's HTTP API from memory, with faults on demand.
 
     Parameters
     ----------
     random : Random
-        Decides which answers are lost.
+        Decides which answers to transactions are lost.
+
+    Attributes
+    ----------
+    is_unavailable : bool
+        Whether every request is answered with status 503.
+    answer_delay_s : float
+        Delay before each request is processed, in seconds.
+    answer_loss_probability : float
+        Probability that the answer to a transaction is lost.
+    late_commit_delay_s : float
+        Seconds by which the commit of a transaction whose answer is lost is delayed;
+        0 to commit at once.
     """
 
     def __init__(self, random: Random) -> None:
@@ -43,12 +55,12 @@
             self._rows_changed.notify_all()
 
     def drop_history(self) -> None:
-        """Forget all changes so far; feeds have to read again."""
+        """Discard all changes so far; readers of older versions get status 410."""
         self._changes.clear()
         self._dropped_through_version = self._version
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+        """Answer one HTTP request."""
         if self.answer_delay_s:
             await asyncio.sleep(self.answer_delay_s)
         if self.is_unavailable:
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' workers: leases, fencing, ends that are listed again."""
+"""Stand-ins of the platform's workers: leases, fencing and repeated end reports."""
 
 from __future__ import annotations
 
@@ -26,7 +26,19 @@
 
 @define(eq=False)
 class Run:
-    """A run that is present."""
+    """A run of a task that has not ended.
+
+    Attributes
+    ----------
+    task_name : str
+        Name of the task.
+    run_number : int
+        Number of the run, which rises with each run of the task.
+    cpu_millis : int
+        CPU that the run uses, in thousandths of a core.
+    completion_task : asyncio.Task or None
+        Ends the run after its duration; None while it does so.
+    """
 
     task_name: str
     run_number: int
@@ -36,12 +48,39 @@
 
 @define(eq=False)
 class Worker:
-    """One worker; its life begins anew with each crash.
+    """Serves a worker's HTTP API; a restart after a crash is a new incarnation.
 
     Attributes
     ----------
-    orders_lost : float
-        Share of orders that get no answer and are carried out seconds later.
+    worker_id : str
+        Id of the worker, the same in each incarnation.
+    observer : Observer
+        Receives the starts, the ends and the acknowledged successes of runs.
+    random : Random
+        Decides which requests get no answer and which runs fail.
+    order_loss_probability : float
+        Probability that a request gets no answer and is executed seconds later.
+    failure_probability : float
+        Probability that a run fails at its end.
+    is_up : bool
+        False between a crash and the next incarnation.
+    started_ms : int
+        Start time that the worker reports, in milliseconds; rises by 1000 with each
+        incarnation, so that it identifies the incarnation.
+    fencing_token : int
+        Highest fencing token received; orders with a lower one are refused.
+    lease_end_ms : int
+        Time on the worker's clock at which the lease of all runs ends, in milliseconds.
+    runs : dict of str to Run
+        Runs that have not ended, by task name.
+    closed_runs : dict of str to int
+        Highest run number that has ended or was ordered to stop, by task name; runs
+        up to that number are not started.
+    unacknowledged_ends : list of list
+        Ends of runs that are reported until the scheduler acknowledges them. Each has
+        a number, the task name, the run number, the kind of end and a checkpoint.
+    last_end_number : int
+        Number of the last end in this incarnation.
     """
 
     worker_id: str
@@ -63,11 +102,11 @@
 
     @property
     def clock_ms(self) -> int:
-        """The worker's own clock."""
+        """Milliseconds on the worker's own clock, which starts at 1000 ms."""
         return 1000 + int(1000 * (asyncio.get_running_loop().time() - self._started_s))
 
     def start_incarnation(self) -> None:
-        """Begin a life that knows nothing of the one before."""
+        """Start an incarnation that has no state of the previous one."""
         self._started_s = asyncio.get_running_loop().time()
         self.started_ms += 1000
         self.fencing_token = self.lease_end_ms = self.last_end_number = 0
@@ -75,7 +114,7 @@
         self.is_up = True
 
     def crash(self) -> None:
-        """End everything at once; nothing is listed."""
+        """End all runs at once, without a report of their ends."""
         self.is_up = False
         for task in list(self._late_orders):
             task.cancel()
@@ -83,7 +122,7 @@
             self._remove_run(run)
 
     async def enforce_lease(self) -> None:
-        """Kill what runs once the lease has lapsed, until cancelled."""
+        """End all runs whenever the lease has expired, until cancelled."""
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self.is_up and self.clock_ms > self.lease_end_ms:
@@ -91,7 +130,7 @@
                     self._end_run(run, "lapsed")
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call, late or never if orders are being lost."""
+        """Answer one HTTP request, or abort it if the worker is down or loses it."""
         if not self.is_up:
             abort_connection(request)
             return make_json_response({}, 503)
@@ -221,7 +260,7 @@
 
 
 async def register_worker(store: StoreStandIn, worker: Worker, address: str) -> None:
-    """Write a worker's registration, as it writes it itself."""
+    """Write the row with which a worker registers itself in the store."""
     registration = {
         "service": "pool",
         "address": address,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's checks, and short seeded runs of it over real processes."""
+"""Tests of the soak's checks, and short soaks with fixed seeds over real processes."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 CAPACITY_CPU_MILLIS = 4000
 
 SHORT_FAULT_PERIOD_S = 8.0
-"""Seconds of faults of a short run; by hand it is 20."""
+"""Seconds in which faults are injected; 20 s in a soak from the command line."""
 
 
 @pytest.fixture
 def observer() -> Observer:
-    terms = {
+    specifications = {
         FIRST_TASK: TaskSpecification(3000, ()),
         SECOND_TASK: TaskSpecification(1000, (FIRST_TASK,)),
     }
-    return Observer(terms)
+    return Observer(specifications)
 
 
 def test_job_that_runs_in_order_yields_no_problem(observer: Observer) -> None:
