--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -110,16 +110,16 @@
     async def stop_node(self, duration_s: float) -> None:
         """Stop a node with SIGTERM, as for planned maintenance; restart after 6 s."""
         node = self.random.choice(self.targets.nodes)
-        node.send_signal(SIGTERM)
+        node.signal_process(SIGTERM)
         await asyncio.sleep(6.0)
         await self._kill_and_restart([node], 0.1)
 
     async def pause_node(self, duration_s: float) -> None:
         """Suspend a node with SIGSTOP, and resume it after the duration."""
         node = self.random.choice(self.targets.nodes)
-        node.send_signal(SIGSTOP)
+        node.signal_process(SIGSTOP)
         await asyncio.sleep(duration_s)
-        node.send_signal(SIGCONT)
+        node.signal_process(SIGCONT)
 
     async def take_store_down(self, duration_s: float) -> None:
         """Make the store answer every request with an error."""
@@ -196,8 +196,8 @@
     async def _kill_and_restart(self, nodes: list[Node], downtime_s: float) -> None:
         killed_processes = [node.process for node in nodes]
         for node in nodes:
-            node.send_signal(SIGCONT)
-            node.send_signal(SIGKILL)
+            node.signal_process(SIGCONT)
+            node.signal_process(SIGKILL)
         await asyncio.sleep(max(downtime_s, 0.1))
         while any(process and process.poll() is None for process in killed_processes):
             await asyncio.sleep(0.02)
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -73,7 +73,7 @@
         )
         log_file.close()
 
-    def send_signal(self, signal_number: Signals) -> None:
+    def signal_process(self, signal_number: Signals) -> None:
         """Send a signal to the process if it is running."""
         if self.is_running and self.process is not None:
             self.process.send_signal(signal_number)
@@ -81,8 +81,8 @@
     def kill(self) -> None:
         """Kill the process for good and wait until it has exited."""
         self.should_run = False
-        self.send_signal(SIGCONT)
-        self.send_signal(SIGKILL)
+        self.signal_process(SIGCONT)
+        self.signal_process(SIGKILL)
         if self.process is not None:
             self.process.wait(EXIT_TIMEOUT_S)
 
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -97,8 +97,8 @@
             )
         if used_cpu_millis + specification.cpu_millis > capacity_cpu_millis:
             self._add_problem(
-                f"{worker_id} exceeds its CPU capacity: {used_cpu_millis} millicores "
-                f"were in use and {specification.cpu_millis} were added"
+                f"{worker_id} exceeds its capacity: {used_cpu_millis} CPU millicores "
+                f"were in use before it added {specification.cpu_millis}"
             )
         unfinished_tasks = [
             predecessor
@@ -107,7 +107,8 @@
         ]
         if unfinished_tasks:
             self._add_problem(
-                f"{task_name} was started before {unfinished_tasks} succeeded"
+                f"{task_name} was started before its predecessors succeeded: "
+                f"{unfinished_tasks}"
             )
         cancelled_s = self.cancel_times_s.get(job_id)
         if cancelled_s is not None and now_s - cancelled_s > CANCEL_GRACE_S:
