--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -100,7 +100,7 @@
             self.observer.cancel_times_s[job_id] = now_s
             self.accepted_jobs[job_id] = "cancelled"
         else:
-            # The cancel may be stored although its acknowledgement was lost.
+            # The cancel may be stored although no acknowledgement arrived.
             self.accepted_jobs[job_id] = "perhaps cancelled"
 
     async def _call(
