--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -19,6 +19,7 @@
 STATE_CHECK_DELAY_S = 0.7
 CANCEL_PROBABILITY = 0.08
 REFUSAL_STATUSES = frozenset({429, 503})
+"""HTTP statuses with which a node refuses a submission without storing the job."""
 
 
 @define(eq=False)
@@ -30,15 +31,18 @@
     nodes : list of Node
         Processes that the clients call.
     observer : Observer
-        Learns of each job's tasks, of refusals and of cancels, and checks the job
-        states that the clients receive.
+        Receives the tasks of each job, the refused jobs and the acknowledged cancels,
+        and checks the job states that the clients receive.
     random : Random
         Source of the jobs, of the clients' actions and of the times between them.
     accepted_jobs : dict of str to str
-        By job id: "accepted", "cancelled" once a cancel was acknowledged, or "perhaps
-        cancelled" if a cancel was sent without an acknowledgement.
+        What the client of each accepted job knows of it, by job id: "accepted",
+        "cancelled" once a cancel was acknowledged, or "perhaps cancelled" if a cancel
+        was sent without an acknowledgement.
     interrupted_calls : list of str
-        Calls that reached a node but got no complete answer, with the error of each.
+        Calls that timed out, or whose connection failed after it was established and
+        before the whole answer arrived, with the error of each. Connections that
+        could not be established are not listed.
     """
 
     nodes: list[Node]
@@ -48,7 +52,17 @@
     interrupted_calls: list[str] = field(factory=list)
 
     async def submit_until(self, stop_event: asyncio.Event, jobs_per_s: float) -> None:
-        """Start a client for each job, at a mean rate, until `stop_event` is set."""
+        """Start clients at random times; each submits one job.
+
+        Returns once `stop_event` is set and all clients have finished.
+
+        Parameters
+        ----------
+        stop_event : asyncio.Event
+            Ends the start of new clients.
+        jobs_per_s : float
+            Mean number of clients that start per second.
+        """
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             client_tasks: set[asyncio.Task[None]] = set()
@@ -110,6 +124,11 @@
         job_id: str,
         body: dict[str, object] | None,
     ) -> tuple[int, dict[str, object]]:
+        """Return the HTTP status and the JSON body of the answer to a call.
+
+        Without a complete answer, the status is 0, which does not count as a refusal,
+        and the body is empty.
+        """
         node = self.random.choice(self.nodes)
         headers = {"Host": ROUTE_HOST, "X-Fuchsiadale-Credential": API_KEY}
         data = None if body is None else orjson.dumps(body)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Random faults, reproducible from a seed, that may overlap in time."""
+"""Faults with kinds, targets, times and durations drawn from a seed; may overlap."""
 
 from __future__ import annotations
 
@@ -38,7 +38,8 @@
     worker_proxies : list of Proxy
         Proxy in front of each worker, in the order of `workers`.
     worker_addresses : list of str
-        Host and port of each of `worker_proxies`, which its worker registers.
+        Host and port of each worker's proxy, in the order of `workers`; the worker
+        registers this address in the store.
     """
 
     nodes: list[Node]
@@ -85,14 +86,22 @@
     kinds: tuple[str, ...] = ALL_FAULT_KINDS
 
     async def run(self, total_s: float, log: Callable[[str], None]) -> None:
-        """Start faults for `total_s` seconds; return once all of them have ended."""
+        """Start faults at random times; return once all of them have ended.
+
+        Parameters
+        ----------
+        total_s : float
+            Time during which new faults are started, in seconds.
+        log : callable
+            Called with a line on each fault as it starts.
+        """
         loop = asyncio.get_running_loop()
         end_s = loop.time() + total_s
         fault_tasks = []
         while loop.time() < end_s:
             kind = self.random.choice(self.kinds)
             duration_s = self.random.uniform(*FAULT_DURATION_RANGE_S)
-            log(f"{kind} for {duration_s:.1f} s")
+            log(f"{kind}, drawn duration {duration_s:.1f} s")
             fault_tasks.append(asyncio.create_task(getattr(self, kind)(duration_s)))
             await asyncio.sleep(self.random.expovariate(FAULTS_PER_S))
         await asyncio.gather(*fault_tasks)
@@ -108,7 +117,11 @@
         await self._kill_and_restart(self.targets.nodes, duration_s / 2)
 
     async def stop_node(self, duration_s: float) -> None:
-        """Stop a node with SIGTERM, as for planned maintenance; restart after 6 s."""
+        """Stop a node with SIGTERM, as for planned maintenance.
+
+        After 6 s the node is killed if it still runs and is started again; the
+        duration is not used.
+        """
         node = self.random.choice(self.targets.nodes)
         node.signal_process(SIGTERM)
         await asyncio.sleep(6.0)
@@ -128,7 +141,10 @@
         self.targets.store.is_unavailable = False
 
     async def lose_store_answers(self, duration_s: float) -> None:
-        """Drop answers to transactions, which may also be committed with a delay."""
+        """Drop the answers to 30% of the transactions to the store.
+
+        At random, these transactions are committed at once, or all 0.5 to 3 s late.
+        """
         store = self.targets.store
         store.answer_loss_probability = 0.3
         store.late_commit_delay_s = self.random.choice(
@@ -138,34 +154,44 @@
         store.answer_loss_probability = store.late_commit_delay_s = 0.0
 
     async def slow_store(self, duration_s: float) -> None:
-        """Delay every answer of the store."""
-        self.targets.store.answer_delay_s = self.random.uniform(0.05, 0.25)
+        """Delay the processing of every request to the store."""
+        self.targets.store.request_delay_s = self.random.uniform(0.05, 0.25)
         await asyncio.sleep(duration_s)
-        self.targets.store.answer_delay_s = 0.0
+        self.targets.store.request_delay_s = 0.0
 
     async def forget_history(self, duration_s: float) -> None:
-        """Discard the store's change history, so that nodes read all rows again."""
+        """Discard the store's change history, so that nodes read all rows again.
+
+        The duration is not used.
+        """
         self.targets.store.drop_history()
 
     async def cut_node_from_store(self, duration_s: float) -> None:
-        """Delay, refuse or drop traffic between a node and the store."""
+        """Disturb the traffic of a node with the store as `_disrupt_link` does."""
         proxy = self.random.choice(self.targets.store_proxies)
         await self._disrupt_link(proxy, duration_s)
 
     async def reset_connections(self, duration_s: float) -> None:
-        """Reset the connections of each proxy with a probability of one half."""
+        """Abort all connections of random proxies of the store and of the workers.
+
+        Each proxy is selected with a probability of 0.5. The duration is not used.
+        """
         for proxy in self.targets.store_proxies + self.targets.worker_proxies:
             if self.random.random() < 0.5:
                 proxy.reset()
 
     async def harm_worker_link(self, duration_s: float) -> None:
-        """Delay, refuse or drop traffic between the nodes and a worker."""
+        """Disturb the traffic of the nodes with a worker as `_disrupt_link` does."""
         await self._disrupt_link(
             self.random.choice(self.targets.worker_proxies), duration_s
         )
 
     async def crash_worker(self, duration_s: float) -> None:
-        """Crash a worker and start it again under the same id after the duration."""
+        """Crash a worker and start it again under the same id after the duration.
+
+        The connections to the worker are aborted. A worker that is already down is
+        left as it is.
+        """
         index = self.random.randrange(len(self.targets.workers))
         worker = self.targets.workers[index]
         if not worker.is_up:
@@ -178,13 +204,18 @@
         await register_worker(self.targets.store, worker, address)
 
     async def lose_orders(self, duration_s: float) -> None:
-        """Make a worker leave some orders unanswered and execute them late."""
+        """Make a worker leave some requests unanswered and execute them late."""
         worker = self.random.choice(self.targets.workers)
         worker.order_loss_probability = self.random.choice((0.1, 0.3, 0.8))
         await asyncio.sleep(duration_s)
         worker.order_loss_probability = 0.0
 
     async def _disrupt_link(self, proxy: Proxy, duration_s: float) -> None:
+        """Delay data, refuse new connections, or drop data one way or both ways.
+
+        The mode is drawn from all proxy modes, so that it may be `OPEN`, which changes
+        nothing.
+        """
         if self.random.random() < 0.3:
             proxy.delay_s = self.random.uniform(0.02, 0.2)
         else:
--- a/tests/soak/http.py
+++ b/tests/soak/http.py
@@ -16,6 +16,9 @@
 
 
 def abort_connection(request: web.BaseRequest) -> None:
-    """Abort the connection that carried a request, so that it gets no response."""
+    """Abort the connection of a request, so that the client gets no response.
+
+    The response that a handler must still return to aiohttp is not sent.
+    """
     if request.transport is not None:
         request.transport.abort()
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Processes of a cell, which receive signals only by their own process id."""
+"""Starts the processes of a cell; signals each one only by its own process id."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 COMMAND = (sys.executable, "-m", "fuchsiadale.platform.main")
 CLIENT_PORT, READINESS_PORT = 8686, 8689
 EXIT_TIMEOUT_S = 20.0
+"""Seconds within which a killed process must exit."""
 
 
 @define(eq=False)
@@ -34,7 +35,7 @@
     start_count : int
         Number of times that the process was started.
     should_run : bool
-        False once the node is killed for good; nothing reads it.
+        False once `kill` was called; nothing reads it.
     """
 
     name: str
@@ -79,7 +80,13 @@
             self.process.send_signal(signal_number)
 
     def kill(self) -> None:
-        """Kill the process for good and wait until it has exited."""
+        """Kill the process at the end of the test and wait until it has exited.
+
+        Raises
+        ------
+        subprocess.TimeoutExpired
+            If the process has not exited after `EXIT_TIMEOUT_S`.
+        """
         self.should_run = False
         self.signal_process(SIGCONT)
         self.signal_process(SIGKILL)
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -29,8 +29,8 @@
     ----------
     specifications : dict of str to TaskSpecification
         Requirements of each submitted task, by task name.
-    running_workers : dict of str to set of str
-        Ids of the workers that run a task, by task name.
+    worker_ids_by_task : dict of str to set of str
+        Ids of the workers that run each task, by task name.
     started_jobs : set of str
         Ids of the jobs of which at least one task has started.
     succeeded_tasks : set of str
@@ -38,17 +38,18 @@
     acknowledged_tasks : set of str
         Names of the tasks whose success the scheduler has acknowledged to the worker.
     refused_jobs : set of str
-        Ids of the jobs whose every submission was refused.
+        Ids of the jobs for which each attempt to submit was answered with a refusal,
+        so that the job must not run.
     cancel_times_s : dict of str to float
         Event loop time at which a cancel was acknowledged, in seconds, by job id.
     problems : list of str
         A sentence on each violation so far.
     start_count : int
-        Number of starts so far.
+        Number of task starts that workers have recorded, allowed or not.
     """
 
     specifications: dict[str, TaskSpecification] = field(factory=dict)
-    running_workers: dict[str, set[str]] = field(factory=dict)
+    worker_ids_by_task: dict[str, set[str]] = field(factory=dict)
     started_jobs: set[str] = field(factory=set)
     succeeded_tasks: set[str] = field(factory=set)
     acknowledged_tasks: set[str] = field(factory=set)
@@ -85,7 +86,7 @@
         if specification is None:
             self._add_problem(f"{task_name} was started but never submitted")
             return
-        worker_ids = self.running_workers.setdefault(task_name, set())
+        worker_ids = self.worker_ids_by_task.setdefault(task_name, set())
         if worker_ids:
             self._add_problem(
                 f"{task_name} was started on {worker_id} and still runs on "
@@ -97,36 +98,36 @@
             )
         if used_cpu_millis + specification.cpu_millis > capacity_cpu_millis:
             self._add_problem(
-                f"{worker_id} exceeds its capacity: {used_cpu_millis} CPU millicores "
-                f"were in use before it added {specification.cpu_millis}"
+                f"{worker_id} exceeds its CPU capacity (amounts in millicores): in use "
+                f"{used_cpu_millis}, added {specification.cpu_millis}"
             )
-        unfinished_tasks = [
+        unsucceeded_predecessors = [
             predecessor
             for predecessor in specification.predecessors
             if predecessor not in self.succeeded_tasks
         ]
-        if unfinished_tasks:
+        if unsucceeded_predecessors:
             self._add_problem(
                 f"{task_name} was started before its predecessors succeeded: "
-                f"{unfinished_tasks}"
+                f"{unsucceeded_predecessors}"
             )
-        cancelled_s = self.cancel_times_s.get(job_id)
-        if cancelled_s is not None and now_s - cancelled_s > CANCEL_GRACE_S:
+        cancel_time_s = self.cancel_times_s.get(job_id)
+        if cancel_time_s is not None and now_s - cancel_time_s > CANCEL_GRACE_S:
             self._add_problem(
-                f"{task_name} was started {now_s - cancelled_s:.1f} s after the cancel "
-                "of its job"
+                f"{task_name} was started {now_s - cancel_time_s:.1f} s after the "
+                "cancel of its job was acknowledged"
             )
         worker_ids.add(worker_id)
         self.started_jobs.add(job_id)
 
     def record_end(self, task_name: str, worker_id: str, has_succeeded: bool) -> None:
         """Record the end of a run of a task, successful or not."""
-        self.running_workers.get(task_name, set()).discard(worker_id)
+        self.worker_ids_by_task.get(task_name, set()).discard(worker_id)
         if has_succeeded:
             self.succeeded_tasks.add(task_name)
 
     def check_reported_state(self, job_id: str, state: str) -> None:
-        """Check a job state that a client has received."""
+        """Check that all tasks of a job reported as completed have succeeded."""
         task_names = [
             task_name
             for task_name in self.specifications
@@ -149,5 +150,6 @@
 
 
 CANCEL_GRACE_S = 6.0
-"""Seconds after an acknowledged cancel during which a task may still start: the
-contract allows 3 s in fault-free operation and does not hold for 3 s after a fault."""
+"""Seconds after an acknowledged cancel during which a task may still start: the sum
+of the 3 s after which a cancel must take effect in fault-free operation by contract,
+and of the 3 s after a fault during which that guarantee does not hold."""
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy that delays, drops or refuses traffic on demand."""
+"""A TCP proxy that delays or drops data and refuses or aborts connections."""
 
 from __future__ import annotations
 
@@ -38,7 +38,8 @@
 
     Once data in one direction of a connection is dropped, all later data in that
     direction is dropped too, even after the mode is `OPEN` again, as if a device on
-    the network path had lost the connection's state.
+    the network path had lost the connection's state. The close of such a direction is
+    not forwarded either, so that the receiver sees an open, silent connection.
 
     Parameters
     ----------
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -25,18 +25,21 @@
 
 NODE_COUNT, WORKER_COUNT = 3, 4
 JOBS_PER_S = 3.0
-FAULT_PERIOD_S = 20.0
+FAULT_INJECTION_S = 20.0
+"""Default time during which new faults are started, in seconds."""
+
 STARTUP_DELAY_S = 2.0
 """Seconds that the processes have to start before jobs are submitted."""
 
-FAULT_FREE_PERIOD_S = 1.0
+WARM_UP_DURATION_S = 1.0
 """Seconds in which jobs are submitted before the first fault."""
 
 POLL_INTERVAL_S = 0.5
 """Seconds between two polls of the states of all jobs that have not ended."""
 
 COMPLETION_TIMEOUT_S = 60.0
-"""Seconds after the last fault within which every accepted job must end."""
+"""Seconds after the last fault and the last client's end within which every accepted
+job must be reported as ended."""
 
 FINAL_STATES = frozenset({"completed", "failed", "cancelled"})
 LOOPBACK_IP = "127.0.0.1"
@@ -49,7 +52,7 @@
     Attributes
     ----------
     seed : int
-        Seed of all random decisions.
+        Seed from which the random decisions of the soak test are derived.
     problems : tuple of str
         A sentence on each violated guarantee.
     accepted_count : int
@@ -57,7 +60,8 @@
     start_count : int
         Number of runs that workers started.
     interrupted_calls : tuple of str
-        Calls of clients that reached a node but got no complete answer.
+        Calls of clients that timed out, or whose connection failed after it was
+        established and before the whole answer arrived.
     """
 
     seed: int
@@ -70,7 +74,7 @@
 async def run_seed(
     seed: int,
     folder: Path,
-    fault_period_s: float = FAULT_PERIOD_S,
+    fault_injection_s: float = FAULT_INJECTION_S,
     fault_kinds: tuple[str, ...] = ALL_FAULT_KINDS,
 ) -> SeedResult:
     """Run the soak test with one seed over real processes.
@@ -78,11 +82,12 @@
     Parameters
     ----------
     seed : int
-        Seed of all random decisions.
+        Seed from which the random decisions of the faults, the clients and the
+        stand-ins are derived.
     folder : Path
         Folder that holds settings files, logs and the list of injected faults.
-    fault_period_s : float
-        Time during which faults are injected, in seconds.
+    fault_injection_s : float
+        Time during which new faults are started, in seconds.
     fault_kinds : tuple of str
         Kinds of faults to draw from.
 
@@ -92,7 +97,8 @@
         Violated guarantees and counts.
     """
     random = Random(seed)
-    # Soak tests that run concurrently must not share loopback addresses.
+    # The ports of nodes are fixed, so soak tests that run concurrently need different
+    # loopback addresses.
     process_id = os.getpid()
     network_prefix = f"127.{1 + process_id % 250}.{1 + process_id // 250 % 250}"
     observer = Observer()
@@ -123,7 +129,7 @@
     try:
         clients = JobClients(targets.nodes, observer, Random(seed + 2))
         injector = FaultInjector(targets, random, fault_kinds)
-        await _run_faults_under_load(injector, clients, folder, fault_period_s)
+        await _run_faults_under_load(injector, clients, folder, fault_injection_s)
     finally:
         for node in targets.nodes:
             node.kill()
@@ -143,12 +149,12 @@
 
 
 async def _run_faults_under_load(
-    injector: FaultInjector, clients: JobClients, folder: Path, fault_period_s: float
+    injector: FaultInjector, clients: JobClients, folder: Path, fault_injection_s: float
 ) -> None:
     stop_event = asyncio.Event()
     await asyncio.sleep(STARTUP_DELAY_S)
     submission_task = asyncio.create_task(clients.submit_until(stop_event, JOBS_PER_S))
-    await asyncio.sleep(FAULT_FREE_PERIOD_S)
+    await asyncio.sleep(WARM_UP_DURATION_S)
     with (folder / "faults.log").open("a") as file:
         loop = asyncio.get_running_loop()
 
@@ -156,7 +162,7 @@
             file.write(f"{loop.time():.3f} {line}\n")
             file.flush()
 
-        await injector.run(fault_period_s, log)
+        await injector.run(fault_injection_s, log)
     stop_event.set()
     await submission_task
     await _wait_for_jobs(clients)
@@ -178,13 +184,15 @@
                 _check_final_state(clients, job_id, state)
         await asyncio.sleep(POLL_INTERVAL_S)
     for job_id in sorted(pending_jobs):
-        clients.observer.problems.append(f"{job_id} was accepted but has not ended")
+        clients.observer.problems.append(
+            f"{job_id} was accepted but not reported as ended in time"
+        )
 
 
 def _check_final_state(clients: JobClients, job_id: str, state: str | None) -> None:
     if state == "cancelled" and clients.accepted_jobs[job_id] == "accepted":
         clients.observer.problems.append(
-            f"{job_id} was reported as cancelled without a cancel"
+            f"{job_id} was reported as cancelled but no client cancelled it"
         )
 
 
@@ -229,7 +237,7 @@
 @click.option("--count", default=1, help="Number of consecutive seeds.")
 @click.option(
     "--seconds",
-    default=FAULT_PERIOD_S,
+    default=FAULT_INJECTION_S,
     help="Seconds in which faults are injected, per seed.",
 )
 @click.option(
--- a/tests/soak/store.py
+++ b/tests/soak/store.py
@@ -26,10 +26,11 @@
     ----------
     is_unavailable : bool
         Whether every request is answered with status 503.
-    answer_delay_s : float
-        Delay before each request is processed, in seconds.
+    request_delay_s : float
+        Delay of the processing of each request, in seconds.
     answer_loss_probability : float
-        Probability that the answer to a transaction is lost.
+        Probability that the connection of a transaction is aborted instead of an
+        answer; the transaction is committed if its expected versions match.
     late_commit_delay_s : float
         Seconds by which the commit of a transaction whose answer is lost is delayed;
         0 to commit at once.
@@ -37,7 +38,7 @@
 
     def __init__(self, random: Random) -> None:
         self.is_unavailable = False
-        self.answer_delay_s = 0.0
+        self.request_delay_s = 0.0
         self.answer_loss_probability = 0.0
         self.late_commit_delay_s = 0.0
         self._random = random
@@ -49,20 +50,23 @@
         self._late_commits: set[asyncio.Task[None]] = set()
 
     async def write_row(self, table: str, key: str, value: str | None) -> None:
-        """Write a row on behalf of the operator or of a worker."""
+        """Write a row for the operator or a worker; delete it if `value` is None."""
         self._apply_writes([(table, key, value)])
         async with self._rows_changed:
             self._rows_changed.notify_all()
 
     def drop_history(self) -> None:
-        """Discard all changes so far; readers of older versions get status 410."""
+        """Discard all changes so far.
+
+        A request for the changes since an older version then gets status 410.
+        """
         self._changes.clear()
         self._dropped_through_version = self._version
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer one HTTP request."""
-        if self.answer_delay_s:
-            await asyncio.sleep(self.answer_delay_s)
+        if self.request_delay_s:
+            await asyncio.sleep(self.request_delay_s)
         if self.is_unavailable:
             return make_json_response({}, 503)
         if request.path == "/api/rows-tx":
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -1,4 +1,8 @@
-"""Stand-ins of the platform's workers: leases, fencing and repeated end reports."""
+"""Stand-ins of the platform's workers.
+
+They enforce leases and fencing tokens, and report the end of each run until it is
+acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -22,6 +26,7 @@
 STOP_DURATION_S = 0.05
 LEASE_CHECK_INTERVAL_S = 0.05
 LATE_ORDER_DELAY_RANGE_S = (1.0, 6.0)
+"""Shortest and longest delay of a request that is executed late, in seconds."""
 
 
 @define(eq=False)
@@ -37,7 +42,8 @@
     cpu_millis : int
         CPU that the run uses, in thousandths of a core.
     completion_task : asyncio.Task or None
-        Ends the run after its duration; None while it does so.
+        Sleeps for the run's duration and then ends the run. None once the duration has
+        passed, so that the end of the run does not cancel the task that ends it.
     """
 
     task_name: str
@@ -59,7 +65,8 @@
     random : Random
         Decides which requests get no answer and which runs fail.
     order_loss_probability : float
-        Probability that a request gets no answer and is executed seconds later.
+        Probability that a request gets no answer and is executed late, after a time
+        drawn from `LATE_ORDER_DELAY_RANGE_S`.
     failure_probability : float
         Probability that a run fails at its end.
     is_up : bool
@@ -68,14 +75,15 @@
         Start time that the worker reports, in milliseconds; rises by 1000 with each
         incarnation, so that it identifies the incarnation.
     fencing_token : int
-        Highest fencing token received; orders with a lower one are refused.
+        Highest fencing token received in this incarnation; orders with a lower one
+        are refused.
     lease_end_ms : int
         Time on the worker's clock at which the lease of all runs ends, in milliseconds.
     runs : dict of str to Run
         Runs that have not ended, by task name.
-    closed_runs : dict of str to int
-        Highest run number that has ended or was ordered to stop, by task name; runs
-        up to that number are not started.
+    highest_closed_run_numbers : dict of str to int
+        Highest run number that has ended or was ordered to stop in this incarnation,
+        by task name; runs up to that number are not started.
     unacknowledged_ends : list of list
         Ends of runs that are reported until the scheduler acknowledges them. Each has
         a number, the task name, the run number, the kind of end and a checkpoint.
@@ -93,7 +101,7 @@
     fencing_token: int = 0
     lease_end_ms: int = 0
     runs: dict[str, Run] = field(factory=dict)
-    closed_runs: dict[str, int] = field(factory=dict)
+    highest_closed_run_numbers: dict[str, int] = field(factory=dict)
     unacknowledged_ends: list[list[Any]] = field(factory=list)
     last_end_number: int = 0
     _run_ended: asyncio.Event = field(factory=asyncio.Event)
@@ -102,7 +110,7 @@
 
     @property
     def clock_ms(self) -> int:
-        """Milliseconds on the worker's own clock, which starts at 1000 ms."""
+        """Time on the worker's clock in ms; each incarnation starts at 1000 ms."""
         return 1000 + int(1000 * (asyncio.get_running_loop().time() - self._started_s))
 
     def start_incarnation(self) -> None:
@@ -110,7 +118,7 @@
         self._started_s = asyncio.get_running_loop().time()
         self.started_ms += 1000
         self.fencing_token = self.lease_end_ms = self.last_end_number = 0
-        self.closed_runs, self.unacknowledged_ends = {}, []
+        self.highest_closed_run_numbers, self.unacknowledged_ends = {}, []
         self.is_up = True
 
     def crash(self) -> None:
@@ -130,7 +138,12 @@
                     self._end_run(run, "lapsed")
 
     async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one HTTP request, or abort it if the worker is down or loses it."""
+        """Answer one HTTP request.
+
+        If the worker is down, its connection is aborted without an answer. While
+        requests are being lost, this happens to some of them, after 6 s, and they are
+        executed 1 to 6 s after they arrived.
+        """
         if not self.is_up:
             abort_connection(request)
             return make_json_response({}, 503)
@@ -175,7 +188,7 @@
         current_run = self.runs.get(task_name)
         if current_run is not None and current_run.run_number == run_number:
             return self._make_response({}, 200)
-        if run_number <= self.closed_runs.get(task_name, 0):
+        if run_number <= self.highest_closed_run_numbers.get(task_name, 0):
             return self._make_response({"reason": "old"}, 409)
         if body["until_ms"] <= self.clock_ms:
             return self._make_response({"reason": "late"}, 409)
@@ -201,8 +214,8 @@
 
     async def _handle_stop(self, body: dict[str, Any]) -> web.StreamResponse:
         task_name, run_number = body["task"], body["run"]
-        self.closed_runs[task_name] = max(
-            run_number, self.closed_runs.get(task_name, 0)
+        self.highest_closed_run_numbers[task_name] = max(
+            run_number, self.highest_closed_run_numbers.get(task_name, 0)
         )
         run = self.runs.get(task_name)
         if run is not None and run.run_number <= run_number:
@@ -238,8 +251,8 @@
     def _end_run(self, run: Run, end_kind: str) -> None:
         self._remove_run(run)
         self.observer.record_end(run.task_name, self.worker_id, end_kind == "done")
-        self.closed_runs[run.task_name] = max(
-            run.run_number, self.closed_runs.get(run.task_name, 0)
+        self.highest_closed_run_numbers[run.task_name] = max(
+            run.run_number, self.highest_closed_run_numbers.get(run.task_name, 0)
         )
         self.last_end_number += 1
         self.unacknowledged_ends.append(
@@ -260,7 +273,7 @@
 
 
 async def register_worker(store: StoreStandIn, worker: Worker, address: str) -> None:
-    """Write the row with which a worker registers itself in the store."""
+    """Write a worker's row directly to the store, as the worker itself would do."""
     registration = {
         "service": "pool",
         "address": address,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,8 +14,8 @@
 FIRST_TASK, SECOND_TASK = f"{JOB_ID}.0.0.0", f"{JOB_ID}.0.1.0"
 CAPACITY_CPU_MILLIS = 4000
 
-SHORT_FAULT_PERIOD_S = 8.0
-"""Seconds in which faults are injected; 20 s in a soak from the command line."""
+SHORT_FAULT_INJECTION_S = 8.0
+"""Seconds for which new faults are started; the command line has 20 s by default."""
 
 
 @pytest.fixture
@@ -43,7 +43,7 @@
     assert len(observer.problems) == 1
 
 
-def test_start_after_acknowledged_end_is_a_problem(observer: Observer) -> None:
+def test_start_after_acknowledged_success_is_a_problem(observer: Observer) -> None:
     observer.acknowledged_tasks.add(FIRST_TASK)
     observer.record_start(FIRST_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
@@ -54,7 +54,7 @@
     assert len(observer.problems) == 1
 
 
-def test_start_before_predecessor_ends_is_a_problem(observer: Observer) -> None:
+def test_start_before_predecessor_succeeds_is_a_problem(observer: Observer) -> None:
     observer.record_start(SECOND_TASK, "a", 0, CAPACITY_CPU_MILLIS, 1.0)
     assert len(observer.problems) == 1
 
@@ -67,7 +67,7 @@
     assert len(observer.problems) == 1
 
 
-def test_unsubmitted_task_false_completion_and_refused_job_are_problems(
+def test_unsubmitted_task_false_completion_and_started_refused_job_are_problems(
     observer: Observer,
 ) -> None:
     observer.record_start("f" * 16 + ".0.0.0", "a", 0, CAPACITY_CPU_MILLIS, 1.0)
@@ -79,14 +79,16 @@
 
 
 @pytest.mark.processes
-def test_short_soak_with_all_faults_yields_no_problem(tmp_path: Path) -> None:
-    result = asyncio.run(run_seed(7, tmp_path, SHORT_FAULT_PERIOD_S))
+def test_short_soak_with_random_faults_yields_no_problem(tmp_path: Path) -> None:
+    result = asyncio.run(run_seed(7, tmp_path, SHORT_FAULT_INJECTION_S))
     assert result.problems == ()
     assert result.start_count > 0
 
 
 @pytest.mark.processes
 def test_repeated_planned_stops_interrupt_no_call(tmp_path: Path) -> None:
-    result = asyncio.run(run_seed(501, tmp_path, SHORT_FAULT_PERIOD_S, ("stop_node",)))
+    result = asyncio.run(
+        run_seed(501, tmp_path, SHORT_FAULT_INJECTION_S, ("stop_node",))
+    )
     assert result.problems == ()
     assert result.interrupted_calls == ()
