--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -28,7 +28,7 @@
     backoff_s,
 )
 from fuchsiadale.decision.scheduler import Scheduler
-from fuchsiadale.decision.waiting import PendingTasks
+from fuchsiadale.decision.pending_tasks import PendingTasks
 from fuchsiadale.decision.work import (
     Attempt,
     AttemptEnd,
@@ -39,7 +39,7 @@
     Work,
     WorkKind,
 )
-from fuchsiadale.decision.workbook import WorkBook, ended, planned
+from fuchsiadale.decision.work_registry import WorkBook, ended, planned
 
 
 class Partition:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,7 +18,7 @@
     stream_key,
 )
 from fuchsiadale.decision.work import AttemptEnd, Program, TaskState, WorkKind
-from fuchsiadale.decision.workbook import WorkBook
+from fuchsiadale.decision.work_registry import WorkBook
 from fuchsiadale.entry import hosted_partition
 from tests.builders import PARTITION, PartitionBench, make_submission
 from tests.cluster import TestCluster
