--- a/bench/contenders.py
+++ b/bench/contenders.py
@@ -81,12 +81,12 @@
 
     def release(self, attempt: Attempt) -> None:
         """Give back the room of an attempt that ended."""
-        self._ledger.give_back(attempt)
+        self._ledger.release(attempt)
 
     def _choose(self, task: Task) -> Worker | None:
         need = task.submission.resources
         for worker in self._ledger.workers.values():
-            if need.fits_in(worker.free):
+            if need.fits_in(worker.unallocated):
                 return worker
         return None
 
@@ -101,7 +101,7 @@
             submission.program,
             submission.team,
         )
-        self._ledger.charge(attempt)
+        self._ledger.allocate(attempt)
         task.attempt = attempt
         task.state = TaskState.PLACED
         return Placement(task, attempt)
@@ -119,6 +119,6 @@
         fitting = [
             worker
             for worker in self._ledger.workers.values()
-            if need.fits_in(worker.free)
+            if need.fits_in(worker.unallocated)
         ]
         return self._random.choice(fitting) if fitting else None
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -105,7 +105,7 @@
         if count == WARM_UP_DECISIONS:
             began_ns = time.perf_counter_ns()
         before_ns = time.perf_counter_ns()
-        partition.ended(running[count], AttemptEnd.SUCCEEDED, b"answer")
+        partition.mark_ended(running[count], AttemptEnd.SUCCEEDED, b"answer")
         running.extend(_decide(partition, next(source)))
         if count >= WARM_UP_DECISIONS:
             histogram.record_value(time.perf_counter_ns() - before_ns)
@@ -132,6 +132,6 @@
     started: list[str] = []
     for attempt in partition.step().starts:
         partition.mark_sent(attempt, 1e12)
-        partition.started(attempt.attempt_id)
+        partition.mark_started(attempt.attempt_id)
         started.append(attempt.attempt_id)
     return started
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -79,8 +79,8 @@
         partition.accept(next(source))
         for attempt in partition.step().starts:
             partition.mark_sent(attempt, 1e12)
-            partition.started(attempt.attempt_id)
-            partition.ended(attempt.attempt_id, AttemptEnd.SUCCEEDED, b"answer")
+            partition.mark_started(attempt.attempt_id)
+            partition.mark_ended(attempt.attempt_id, AttemptEnd.SUCCEEDED, b"answer")
     partition.step()
     return partition
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -384,6 +384,6 @@
         info = WorkerInfo(
             f"w{index:03d}", pool.name, "", f"domain-{index % 3}", "", pool.capacity
         )
-        ledger.add(evolve(info))
+        ledger.add_or_update(evolve(info))
         ledger.change_state(info.name, "adopt")
     return ledger
--- a/src/fuchsiadale/decision/claims.py
+++ b/src/fuchsiadale/decision/claims.py
@@ -22,7 +22,7 @@
     until_s: float
 
 
-class Claims:
+class WorkerClaims:
     """Keeps a worker for a task that fits nowhere, so that its room gathers.
 
     Without a claim, small tasks of teams above their share take every bit of room
@@ -43,17 +43,17 @@
         self._by_task: dict[str, _Claim] = {}
 
     @property
-    def has_room(self) -> bool:
+    def is_below_limit(self) -> bool:
         """Whether one more claim may be made."""
         most = max(1, len(self._ledger.workers) // WORKERS_PER_CLAIM)
         return len(self._by_worker) < most
 
-    def is_open_to(self, task: Task, worker: Worker) -> bool:
+    def allows_placement(self, task: Task, worker: Worker) -> bool:
         """Tell whether no other task claims the worker."""
         claim = self._by_worker.get(worker.info.name)
         return claim is None or claim.task_id == task.task_id
 
-    def request(self, task: Task, allowed: Callable[[Worker], bool]) -> None:
+    def claim_worker(self, task: Task, allowed: Callable[[Worker], bool]) -> None:
         """Claim the worker that is nearest to having room for a task.
 
         Parameters
@@ -79,12 +79,12 @@
         if claim is not None:
             del self._by_worker[claim.worker]
 
-    def give_way(self, workers: frozenset[str]) -> None:
+    def drop_claims_on(self, workers: frozenset[str]) -> None:
         """End the claims on workers that were reserved for a gang."""
         for name in workers & set(self._by_worker):
             self.drop(self._by_worker[name].task_id)
 
-    def expire(self) -> None:
+    def drop_expired(self) -> None:
         """End the claims that were not met in time."""
         now_s = self._clock.now()
         for claim in list(self._by_task.values()):
@@ -103,7 +103,7 @@
             is_kept = worker.info.name in self._by_worker or not allowed(worker)
             if is_kept or not need.fits_in(worker.info.capacity):
                 continue
-            lacking = (need - worker.room).maximum(Resources())
+            lacking = (need - worker.available).maximum(Resources())
             lack = lacking.dominant_share(worker.info.capacity)
             if best is None or lack < best_lack:
                 best = worker
--- a/src/fuchsiadale/decision/fairness.py
+++ b/src/fuchsiadale/decision/fairness.py
@@ -46,16 +46,16 @@
 
     share: float = 1.0
     local: Resources = NO_RESOURCES
-    remote_share: float = 0.0
+    remote_dominant_share: float = 0.0
 
-    def normalised(self, total: Resources) -> float:
+    def weighted_dominant_share(self, total: Resources) -> float:
         """Return the dominant usage of `total` per unit of share."""
-        usage = self.local.dominant_share(total) + self.remote_share
+        usage = self.local.dominant_share(total) + self.remote_dominant_share
         return usage / self.share
 
 
 @frozen
-class LaneKey:
+class TaskGroupKey:
     """Tasks of one lane are interchangeable for a placement decision."""
 
     kind: WorkKind
@@ -63,16 +63,16 @@
     gang_id: str = ""
 
 
-def lane_key_of(task: Task) -> LaneKey:
+def task_group_key_of(task: Task) -> TaskGroupKey:
     """Return the lane that a task waits in."""
     submission = task.submission
     gang_id = submission.work_id if submission.kind is WorkKind.GANG else ""
-    return LaneKey(submission.kind, submission.resources, gang_id)
+    return TaskGroupKey(submission.kind, submission.resources, gang_id)
 
 
 @define
 class _TeamQueue:
-    lanes: dict[LaneKey, deque[Task]] = field(factory=dict)
+    lanes: dict[TaskGroupKey, deque[Task]] = field(factory=dict)
     version: int = 0
 
     def oldest_s(self) -> float:
@@ -98,45 +98,45 @@
     def __init__(self, weights: OrderWeights, usage: dict[str, TeamUsage]) -> None:
         self.weights = weights
         self._usage = usage
-        self._teams: dict[str, _TeamQueue] = {}
+        self._queue_by_team: dict[str, _TeamQueue] = {}
         self._heap: list[tuple[float, int, str, int]] = []
-        self._total = NO_RESOURCES
+        self._total_capacity = NO_RESOURCES
         self._sequence = 0
         self._size = 0
 
     def __len__(self) -> int:
         return self._size
 
-    def set_total(self, total: Resources) -> None:
+    def set_total_capacity(self, total: Resources) -> None:
         """Take the capacity that usage is measured against."""
-        if total != self._total:
-            self._total = total
-            self.reorder()
+        if total != self._total_capacity:
+            self._total_capacity = total
+            self.reorder_all()
 
-    def reorder(self) -> None:
+    def reorder_all(self) -> None:
         """Compute every team's key anew, after weights or shares changed."""
         self._heap.clear()
-        for team in self._teams:
-            self.touch(team)
+        for team in self._queue_by_team:
+            self.reorder_team(team)
 
     def push(self, task: Task) -> None:
         """Add a task behind the others of its lane."""
         team = task.submission.team
-        queue = self._teams.setdefault(team, _TeamQueue())
-        key = lane_key_of(task)
-        lane = queue.lanes.get(key)
+        queue = self._queue_by_team.setdefault(team, _TeamQueue())
+        key = task_group_key_of(task)
+        group_tasks = queue.lanes.get(key)
         self._size += 1
-        if lane is not None:
-            lane.append(task)
+        if group_tasks is not None:
+            group_tasks.append(task)
             return
         queue.lanes[key] = deque([task])
-        self.touch(team)
+        self.reorder_team(team)
 
     def remove(self, task: Task) -> None:
         """Take a task out of its lane."""
         team = task.submission.team
-        queue = self._teams[team]
-        key = lane_key_of(task)
+        queue = self._queue_by_team[team]
+        key = task_group_key_of(task)
         lane = queue.lanes[key]
         if lane[0] is task:
             lane.popleft()
@@ -146,15 +146,15 @@
         if not lane:
             del queue.lanes[key]
         if not queue.lanes:
-            del self._teams[team]
+            del self._queue_by_team[team]
 
-    def touch(self, team: str) -> None:
+    def reorder_team(self, team: str) -> None:
         """Reorder a team after its usage or its oldest task changed."""
-        queue = self._teams.get(team)
+        queue = self._queue_by_team.get(team)
         if queue is None:
             return
         usage = self._usage.setdefault(team, TeamUsage())
-        key = self.weights.share * usage.normalised(self._total)
+        key = self.weights.share * usage.weighted_dominant_share(self._total_capacity)
         key += self.weights.waiting * queue.oldest_s() / WAITING_UNIT_S
         self._sequence += 1
         queue.version = self._sequence
@@ -179,9 +179,9 @@
                 if self._is_current(entry):
                     heapq.heappush(self._heap, entry)
 
-    def lanes(self, team: str) -> list[tuple[LaneKey, Task]]:
+    def group_heads(self, team: str) -> list[tuple[TaskGroupKey, Task]]:
         """Return the head of each of a team's lanes, oldest first."""
-        queue = self._teams.get(team)
+        queue = self._queue_by_team.get(team)
         if queue is None:
             return []
         heads = [(key, lane[0]) for key, lane in queue.lanes.items()]
@@ -189,19 +189,19 @@
             heads.sort(key=lambda head: head[1].queued_at_s)
         return heads
 
-    def waiting(self) -> Iterator[Task]:
+    def pending_tasks(self) -> Iterator[Task]:
         """Yield every waiting task."""
-        for queue in self._teams.values():
+        for queue in self._queue_by_team.values():
             for lane in queue.lanes.values():
                 yield from lane
 
-    def lane(self, team: str, key: LaneKey) -> list[Task]:
+    def lane(self, team: str, key: TaskGroupKey) -> list[Task]:
         """Return the tasks that wait in one lane, oldest first."""
-        queue = self._teams.get(team)
+        queue = self._queue_by_team.get(team)
         if queue is None or key not in queue.lanes:
             return []
         return list(queue.lanes[key])
 
     def _is_current(self, entry: tuple[float, int, str, int]) -> bool:
-        queue = self._teams.get(entry[2])
+        queue = self._queue_by_team.get(entry[2])
         return queue is not None and queue.version == entry[3]
--- a/src/fuchsiadale/decision/free_index.py
+++ b/src/fuchsiadale/decision/free_index.py
@@ -8,7 +8,7 @@
 
 from fuchsiadale.decision.resources import Resources
 
-CANDIDATES_PER_CLASS = 16
+CANDIDATES_PER_SIZE_CLASS = 16
 
 
 @frozen(order=True)
@@ -67,7 +67,7 @@
             yield self.names[(start + offset) % size]
 
 
-class FreeIndex:
+class AvailabilityIndex:
     """Finds workers whose free room may hold a need, smallest room first.
 
     A lookup visits at most `CANDIDATES_PER_CLASS` workers of each size class, so its
@@ -106,7 +106,7 @@
             del self._buckets[old]
             self._ordered = sorted(self._buckets)
 
-    def candidates(self, need: Resources) -> Iterator[list[str]]:
+    def candidate_batches(self, need: Resources) -> Iterator[list[str]]:
         """Yield samples of workers, one size class at a time, smallest first."""
         wanted = size_class_of(need)
         for size_class in list(self._ordered):
@@ -114,4 +114,4 @@
                 continue
             bucket = self._buckets.get(size_class)
             if bucket is not None:
-                yield list(bucket.sample(CANDIDATES_PER_CLASS))
+                yield list(bucket.sample(CANDIDATES_PER_SIZE_CLASS))
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -9,7 +9,7 @@
 from attrs import frozen
 from transitions import Machine
 
-from fuchsiadale.decision.free_index import FreeIndex
+from fuchsiadale.decision.free_index import AvailabilityIndex
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.work import Attempt
 
@@ -87,25 +87,25 @@
 
     def __init__(self, info: WorkerInfo) -> None:
         self.info = info
-        self.free = info.capacity
+        self.unallocated = info.capacity
         self.attempts: dict[str, Attempt] = {}
         self.boot_id = ""
         self.overuse = NO_RESOURCES
 
     @property
-    def is_open(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Whether new tasks may be placed here."""
         return self.state is WorkerState.READY
 
     @property
-    def room(self) -> Resources:
+    def available(self) -> Resources:
         """What is free and not taken by tasks that exceed what they declared."""
-        return self.free - self.overuse
+        return self.unallocated - self.overuse
 
     @property
-    def used(self) -> Resources:
+    def allocated(self) -> Resources:
         """The room that is charged."""
-        return self.info.capacity - self.free
+        return self.info.capacity - self.unallocated
 
 
 class Ledger:
@@ -117,8 +117,8 @@
 
     def __init__(self) -> None:
         self._workers: dict[str, Worker] = {}
-        self._index = FreeIndex()
-        self._domain_indexes: dict[str, FreeIndex] = {}
+        self._index = AvailabilityIndex()
+        self._domain_indexes: dict[str, AvailabilityIndex] = {}
         self._capacity = NO_RESOURCES
         self._machine = Machine(
             model=None,
@@ -144,7 +144,7 @@
         """The failure domains that have an open worker, in order of name."""
         return sorted(self._domain_indexes)
 
-    def add(self, info: WorkerInfo) -> Worker:
+    def add_or_update(self, info: WorkerInfo) -> Worker:
         """Add a worker, or take over what the host list now says of it."""
         worker = self._workers.get(info.name)
         is_gone = worker is not None and worker.state is WorkerState.GONE
@@ -155,9 +155,9 @@
             self._machine.add_model(worker)
             self._workers[info.name] = worker
         else:
-            used = worker.used
+            used = worker.allocated
             worker.info = info
-            worker.free = info.capacity - used
+            worker.unallocated = info.capacity - used
             if worker.state is WorkerState.GONE and not info.leaving:
                 self.change_state(info.name, "return_")
         if info.leaving:
@@ -183,16 +183,16 @@
         self._unindex(worker)
         self._capacity = self._sum_capacity()
 
-    def charge(self, attempt: Attempt) -> None:
+    def allocate(self, attempt: Attempt) -> None:
         """Charge an attempt to its worker; charging one twice has no effect."""
         worker = self._workers[attempt.worker]
         if attempt.attempt_id in worker.attempts:
             return
         worker.attempts[attempt.attempt_id] = attempt
-        worker.free = worker.free - attempt.resources
+        worker.unallocated = worker.unallocated - attempt.resources
         self._reindex(worker)
 
-    def give_back(self, attempt: Attempt) -> bool:
+    def release(self, attempt: Attempt) -> bool:
         """Give back the room of an attempt that surely ended.
 
         Returns
@@ -203,11 +203,11 @@
         worker = self._workers.get(attempt.worker)
         if worker is None or worker.attempts.pop(attempt.attempt_id, None) is None:
             return False
-        worker.free = worker.free + attempt.resources
+        worker.unallocated = worker.unallocated + attempt.resources
         self._reindex(worker)
         return True
 
-    def set_usage(self, name: str, usage: Resources) -> None:
+    def set_measured_usage(self, name: str, usage: Resources) -> None:
         """Take what a worker's tasks really take of processors and memory.
 
         Parameters
@@ -218,12 +218,12 @@
             What was measured; amounts below what is charged change nothing.
         """
         worker = self._workers[name]
-        overuse = (usage - worker.used).maximum(NO_RESOURCES)
+        overuse = (usage - worker.allocated).maximum(NO_RESOURCES)
         if overuse != worker.overuse:
             worker.overuse = overuse
             self._reindex(worker)
 
-    def candidates(
+    def candidate_batches(
         self, need: Resources, failure_domain: str | None = None
     ) -> Iterator[list[Worker]]:
         """Yield samples of open workers that have room, smallest room first.
@@ -235,21 +235,21 @@
         failure_domain : str, optional
             Only workers of this failure domain.
         """
-        index: FreeIndex | None = self._index
+        index: AvailabilityIndex | None = self._index
         if failure_domain is not None:
             index = self._domain_indexes.get(failure_domain)
         if index is None:
             return
-        for names in index.candidates(need):
+        for names in index.candidate_batches(need):
             fitting = [
                 worker
                 for worker in map(self._workers.__getitem__, names)
-                if need.fits_in(worker.room)
+                if need.fits_in(worker.available)
             ]
             if fitting:
                 yield fitting
 
-    def could_ever_fit(self, need: Resources) -> bool:
+    def fits_any_empty_worker(self, need: Resources) -> bool:
         """Tell whether an empty worker of this partition could hold `need`."""
         return any(
             need.fits_in(worker.info.capacity)
@@ -265,14 +265,14 @@
         return total
 
     def _reindex(self, worker: Worker) -> None:
-        room = worker.room.maximum(NO_RESOURCES)
-        if not worker.is_open or room.slots <= 0:
+        room = worker.available.maximum(NO_RESOURCES)
+        if not worker.is_schedulable or room.slots <= 0:
             self._unindex(worker)
             return
         self._index.put(worker.info.name, room)
         domain = worker.info.failure_domain
         if domain not in self._domain_indexes:
-            self._domain_indexes[domain] = FreeIndex()
+            self._domain_indexes[domain] = AvailabilityIndex()
         self._domain_indexes[domain].put(worker.info.name, room)
 
     def _unindex(self, worker: Worker) -> None:
--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -5,7 +5,7 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.decision.actions import Acknowledgement, Actions, StopOrder
-from fuchsiadale.decision.admission import refusal_of
+from fuchsiadale.decision.admission import check_admission
 from fuchsiadale.decision.authority import Authority
 from fuchsiadale.decision.blame import Blame
 from fuchsiadale.decision.clock import Clock
@@ -39,7 +39,7 @@
     Work,
     WorkKind,
 )
-from fuchsiadale.decision.work_registry import WorkBook, ended, planned
+from fuchsiadale.decision.work_registry import WorkRegistry, ended_event, planned_event
 
 
 class Partition:
@@ -74,7 +74,7 @@
         self.epoch = epoch
         self.authority = authority
         self.ledger = Ledger()
-        self.book = WorkBook()
+        self.work_registry = WorkRegistry()
         self.blame = Blame()
         self.scheduler = Scheduler(self.ledger, clock, epoch, weights or OrderWeights())
         self._quarantine = Quarantine(self.ledger, self.blame, clock)
@@ -90,31 +90,31 @@
 
     def accept(self, submission: Submission) -> Result[Work, Refusal]:
         """Accept a submission, or return the work that it repeats."""
-        found = self.book.find(submission)
+        found = self.work_registry.find_duplicate(submission)
         if isinstance(found, Err):
             return found
         if found.ok_value is not None:
             self._wake(found.ok_value)
             return Ok(found.ok_value)
-        refusal = refusal_of(submission, self.ledger, self.scheduler.pending_count)
+        refusal = check_admission(submission, self.ledger, self.scheduler.pending_count)
         if refusal is not None:
             self._actions.counts[f"refused.{refusal.kind.value}"] += 1
             return Err(refusal)
-        work = self.book.add(submission, self._clock.now())
+        work = self.work_registry.add(submission, self._clock.now())
         if submission.is_journalled:
             self._actions.events.append(Accepted(submission))
         self._budgets.deposit(submission.queue, submission.tasks)
         for task in work.tasks:
-            self.enqueue(task, held=submission.resubmitted)
+            self.enqueue(task, may_be_running=submission.resubmitted)
         return Ok(work)
 
-    def withdraw(self, work: Work) -> None:
+    def roll_back_acceptance(self, work: Work) -> None:
         """Take back an acceptance that could not be recorded."""
         for task in work.tasks:
-            self.unqueue(task)
+            self.dequeue(task)
             if task.attempt is not None:
                 self.scheduler.release(task.attempt)
-        self.book.discard(work)
+        self.work_registry.discard(work)
 
     def cancel(self, work: Work, refusal: Refusal) -> None:
         """End work: what was not sent never runs, what runs is stopped.
@@ -139,7 +139,7 @@
         for task in work.tasks:
             self._cancel_task(task)
 
-    def enqueue(self, task: Task, held: bool = False) -> None:
+    def enqueue(self, task: Task, may_be_running: bool = False) -> None:
         """Queue a pending task.
 
         Parameters
@@ -154,12 +154,12 @@
         task.attempt = None
         task.stop_requested = False
         task.start_valid_until_s = None
-        if not task.work.is_dormant:
-            self._pending.add(task, held)
+        if not task.work.awaits_resubmission:
+            self._pending.add(task, may_be_running)
 
-    def unqueue(self, task: Task) -> None:
+    def dequeue(self, task: Task) -> None:
         """Take a pending task out of whatever it waits in."""
-        if task.state is TaskState.PENDING and not task.work.is_dormant:
+        if task.state is TaskState.PENDING and not task.work.awaits_resubmission:
             self._pending.remove(task)
 
     def mark_sent(self, attempt: Attempt, valid_until_s: float) -> bool:
@@ -172,7 +172,7 @@
         valid_until_s : float
             Reading of the worker's clock after which the start has no effect.
         """
-        task = self.book.current_task(attempt.attempt_id)
+        task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
         if task is None or task.state is not TaskState.PLACED:
             return False
         if not self.authority.may_act():
@@ -181,9 +181,9 @@
         task.start_valid_until_s = valid_until_s
         return True
 
-    def started(self, attempt_id: str) -> None:
+    def mark_started(self, attempt_id: str) -> None:
         """Note that a worker runs an attempt."""
-        task = self.book.current_task(attempt_id)
+        task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.state not in (TaskState.PLACED, TaskState.STARTING):
             return
         task.state = TaskState.RUNNING
@@ -191,9 +191,9 @@
         task.acknowledged_at_s = self._clock.now()
         if task.started_at_s is None:
             task.started_at_s = self._clock.now()
-        self.scheduler.started(task)
+        self.scheduler.add_running(task)
 
-    def ended(
+    def mark_ended(
         self, attempt_id: str, end: AttemptEnd, answer: bytes = b"", reason: str = ""
     ) -> None:
         """Note that an attempt surely runs no more.
@@ -209,7 +209,7 @@
         reason : str
             Why it was refused or lost, for the counters.
         """
-        task = self.book.current_task(attempt_id)
+        task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.attempt is None:
             return
         attempt = task.attempt
@@ -234,7 +234,7 @@
         else:
             self._retry(task, answer, end, reason)
 
-    def stop(self, task: Task, checkpoint: bool) -> None:
+    def stop_task(self, task: Task, checkpoint: bool) -> None:
         """Order a running attempt to end, once."""
         if task.attempt is None or task.stop_requested:
             return
@@ -244,7 +244,7 @@
             StopOrder(attempt.worker, attempt.attempt_id, checkpoint)
         )
 
-    def order_stop(self, order: StopOrder) -> None:
+    def stop_unknown_attempt(self, order: StopOrder) -> None:
         """Order the end of an attempt that the book does not hold."""
         self._actions.stops.append(order)
 
@@ -252,73 +252,73 @@
         """Let a worker forget an ended attempt."""
         self._actions.acknowledgements.append(Acknowledgement(worker, attempt_id))
 
-    def delivered(self, work: Work) -> None:
+    def mark_delivered(self, work: Work) -> None:
         """Note that the caller's entry has the answer of a request."""
         work.is_delivered = True
         for task in work.tasks:
-            if task.record_due:
-                task.record_due = False
+            if task.is_end_record_deferred:
+                task.is_end_record_deferred = False
                 self._actions.events.append(
-                    ended(task, task.state, AttemptEnd.SUCCEEDED)
+                    ended_event(task, task.state, AttemptEnd.SUCCEEDED)
                 )
-            if task.acknowledgement_due and task.attempt is not None:
-                task.acknowledgement_due = False
+            if task.is_acknowledgement_deferred and task.attempt is not None:
+                task.is_acknowledgement_deferred = False
                 self.acknowledge(task.attempt.worker, task.attempt.attempt_id)
 
     def step(self) -> Actions:
         """Place what can be placed and return all that has to be carried out."""
-        self._pending.release()
+        self._pending.release_ready()
         self._quarantine.probe()
         if self.authority.may_act() and not self._is_paused:
             for placement in self.scheduler.schedule():
                 task = placement.task
                 attempt = placement.attempt
                 if task.submission.is_journalled:
-                    self._actions.events.append(planned(attempt))
+                    self._actions.events.append(planned_event(attempt))
                 self._actions.starts.append(attempt)
             self._preempt()
         actions = self._actions
         self._actions = Actions()
         return actions
 
-    def evacuate(self, name: str) -> None:
+    def evacuate_worker(self, name: str) -> None:
         """Stop the jobs' tasks on a leaving worker, so that they run elsewhere."""
         for attempt in self.ledger.workers[name].attempts.values():
-            task = self.book.current_task(attempt.attempt_id)
+            task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
             if task is None or task.submission.kind is WorkKind.REQUEST:
                 continue
             if task.submission.idempotent and not task.stop_requested:
                 self._actions.counts["retried.evacuated"] += 1
-                self.stop(task, checkpoint=True)
+                self.stop_task(task, checkpoint=True)
 
     def enforce_grant(self, team: str) -> None:
         """Stop the team's youngest attempts until it is within its grant."""
         for attempt in self.scheduler.attempts_above_grant(team):
-            task = self.book.current_task(attempt.attempt_id)
+            task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
             if task is not None:
                 self._actions.counts["preempted.limit"] += 1
-                self.stop(task, checkpoint=True)
+                self.stop_task(task, checkpoint=True)
 
     def _wake(self, work: Work) -> None:
         """Let a recovered request start, now that its caller is known to wait."""
-        if not work.is_dormant:
+        if not work.awaits_resubmission:
             return
-        work.is_dormant = False
+        work.awaits_resubmission = False
         for task in work.tasks:
             if task.state is TaskState.PENDING:
-                self.enqueue(task, held=True)
+                self.enqueue(task, may_be_running=True)
 
     def _cancel_task(self, task: Task) -> None:
         if task.state.is_final:
             return
         if task.state in (TaskState.PENDING, TaskState.PLACED):
-            self.unqueue(task)
+            self.dequeue(task)
             if task.attempt is not None:
                 self.scheduler.release(task.attempt)
             self._finish_cancelled(task, AttemptEnd.NOT_RUN)
             task.attempt = None
         else:
-            self.stop(task, checkpoint=False)
+            self.stop_task(task, checkpoint=False)
 
     def _finish_cancelled(self, task: Task, end: AttemptEnd) -> None:
         if end is AttemptEnd.NOT_RUN and not task.may_have_run:
@@ -343,7 +343,7 @@
     def _retry(self, task: Task, answer: bytes, end: AttemptEnd, reason: str) -> None:
         if end is AttemptEnd.FAILED:
             task.failures += 1
-            task.failed_on.add(task.attempt.worker if task.attempt else "")
+            task.failed_worker_names.add(task.attempt.worker if task.attempt else "")
             is_poison = self.blame.is_poison(task.submission.work_id)
             if is_poison or task.failures >= RETRY_BUDGET_PER_TASK:
                 self._fail(task, answer, end)
@@ -368,11 +368,11 @@
         """Stop the rest of a gang that lost a task, so that all start anew."""
         for sibling in work.tasks:
             if sibling.state in (TaskState.STARTING, TaskState.RUNNING):
-                self.stop(sibling, checkpoint=True)
+                self.stop_task(sibling, checkpoint=True)
 
     def _finish(self, task: Task, state: TaskState, end: AttemptEnd) -> None:
         self._record_end(task, state, end)
-        self.book.finish(task, state, self._clock.now())
+        self.work_registry.finish_task(task, state, self._clock.now())
         if task.work.is_final:
             self.blame.forget_work(task.submission.work_id)
             self._actions.finished.append(task.work)
@@ -381,15 +381,17 @@
         if not task.submission.is_journalled:
             return
         is_request = task.submission.kind is WorkKind.REQUEST
-        if is_request and task.answer is not None and not task.answer.is_recordable:
-            task.record_due = True
+        if is_request and task.answer is not None and not task.answer.fits_in_journal:
+            task.is_end_record_deferred = True
             return
-        self._actions.events.append(ended(task, state, end))
+        self._actions.events.append(ended_event(task, state, end))
 
     def _preempt(self) -> None:
         for plan in self.scheduler.plan_preemptions():
             self._actions.counts["preempted.urgent"] += len(plan.victims)
             for victim in plan.victims:
-                task = self.book.current_task(victim.attempt_id)
+                task = self.work_registry.find_task_by_current_attempt(
+                    victim.attempt_id
+                )
                 if task is not None:
-                    self.stop(task, checkpoint=True)
+                    self.stop_task(task, checkpoint=True)
--- a/src/fuchsiadale/decision/pending_tasks.py
+++ b/src/fuchsiadale/decision/pending_tasks.py
@@ -56,7 +56,7 @@
         elif not self._delayed.discard(task):
             self._scheduler.remove(task)
 
-    def release(self) -> None:
+    def release_ready(self) -> None:
         """Hand over the tasks that need to wait for nothing but room."""
         if self._held and self._authority.may_rerun():
             for task in self._held:
--- a/src/fuchsiadale/decision/placement.py
+++ b/src/fuchsiadale/decision/placement.py
@@ -19,7 +19,7 @@
     """Chooses a worker with room for a task."""
 
     @abstractmethod
-    def choose(
+    def choose_worker(
         self, task: Task, ledger: Ledger, allowed: WorkerFilter
     ) -> Worker | None:
         """Return the worker to place `task` on.
@@ -48,7 +48,7 @@
     on a worker that has free ones is charged a penalty.
     """
     capacity = worker.info.capacity
-    free = worker.room
+    free = worker.available
     cpu_left = (free.cpu_millis - need.cpu_millis) / max(capacity.cpu_millis, 1)
     memory_left = (free.memory_mb - need.memory_mb) / max(capacity.memory_mb, 1)
     score = abs(cpu_left - memory_left) + 0.5 * (cpu_left + memory_left)
@@ -68,7 +68,7 @@
     best = None
     best_score = 0.0
     for worker in workers:
-        if worker.info.name in task.failed_on or not allowed(worker):
+        if worker.info.name in task.failed_worker_names or not allowed(worker):
             continue
         score = stranding_score(worker, need)
         if best is None or score < best_score:
@@ -80,11 +80,11 @@
 class BestFitPlacement(PlacementPolicy):
     """Fill the worker that would strand the least room."""
 
-    def choose(
+    def choose_worker(
         self, task: Task, ledger: Ledger, allowed: WorkerFilter
     ) -> Worker | None:
         """Return the best worker of the smallest size class that has one."""
-        for workers in ledger.candidates(task.submission.resources):
+        for workers in ledger.candidate_batches(task.submission.resources):
             best = _best_of(workers, task, allowed)
             if best is not None:
                 return best
@@ -94,7 +94,7 @@
 class SpreadPlacement(PlacementPolicy):
     """Spread the tasks of one piece of work over failure domains and workers."""
 
-    def choose(
+    def choose_worker(
         self, task: Task, ledger: Ledger, allowed: WorkerFilter
     ) -> Worker | None:
         """Return a worker in the failure domain that holds the fewest siblings."""
@@ -115,9 +115,11 @@
         for domain in domains:
             candidates = [
                 worker
-                for workers in ledger.candidates(task.submission.resources, domain)
+                for workers in ledger.candidate_batches(
+                    task.submission.resources, domain
+                )
                 for worker in workers
-                if allowed(worker) and worker.info.name not in task.failed_on
+                if allowed(worker) and worker.info.name not in task.failed_worker_names
             ]
             if candidates:
                 fewest = min(per_worker[worker.info.name] for worker in candidates)
@@ -130,7 +132,7 @@
         return None
 
 
-def choose_all(
+def place_all_or_none(
     policy: PlacementPolicy,
     tasks: Sequence[Task],
     ledger: Ledger,
@@ -162,7 +164,7 @@
     """
     placed: list[Task] = []
     for task in tasks:
-        worker = policy.choose(task, ledger, allowed)
+        worker = policy.choose_worker(task, ledger, allowed)
         if worker is None:
             for earlier in placed:
                 undo(earlier)
--- a/src/fuchsiadale/decision/preemption.py
+++ b/src/fuchsiadale/decision/preemption.py
@@ -58,7 +58,7 @@
         self._earmarks: dict[str, _Earmark] = {}
         self._planned: dict[str, str] = {}
 
-    def started(self, task: Task) -> None:
+    def add_running(self, task: Task) -> None:
         """Note a started attempt; the order of calls is the order of age."""
         attempt = task.attempt
         if attempt is None:
@@ -69,7 +69,7 @@
             of_team = self._stoppable.setdefault(attempt.team, {})
             of_team[attempt.attempt_id] = attempt
 
-    def ended(self, attempt: Attempt) -> None:
+    def remove_running(self, attempt: Attempt) -> None:
         """Forget an attempt."""
         self._preemptible.pop(attempt.attempt_id, None)
         of_team = self._stoppable.get(attempt.team)
@@ -78,17 +78,17 @@
             if not of_team:
                 del self._stoppable[attempt.team]
 
-    def forget(self, task: Task) -> None:
+    def drop_hold(self, task: Task) -> None:
         """Drop the earmark of a task that was placed or cancelled."""
         worker = self._planned.pop(task.task_id, None)
         if worker is not None:
             self._earmarks.pop(worker, None)
 
-    def youngest_of(self, team: str) -> Iterator[Attempt]:
+    def stoppable_youngest_first(self, team: str) -> Iterator[Attempt]:
         """Yield a team's attempts that may be stopped, youngest first."""
         yield from reversed(list(self._stoppable.get(team, {}).values()))
 
-    def is_open_to(self, task: Task, worker: Worker) -> bool:
+    def allows_placement(self, task: Task, worker: Worker) -> bool:
         """Tell whether no other task has the worker earmarked."""
         earmark = self._earmarks.get(worker.info.name)
         if earmark is None or earmark.task_id == task.task_id:
@@ -126,10 +126,10 @@
     def _victims_on(self, name: str, task: Task) -> list[Attempt] | None:
         """Return the fewest youngest attempts whose end makes room, if any do."""
         worker = self._ledger.workers[name]
-        if not worker.is_open or name in task.failed_on:
+        if not worker.is_schedulable or name in task.failed_worker_names:
             return None
         need = task.submission.resources
-        room = worker.room
+        room = worker.available
         victims: list[Attempt] = []
         for attempt in reversed(worker.attempts.values()):
             if need.fits_in(room):
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -66,16 +66,16 @@
     def recover(self) -> None:
         """Charge what the journal says may run, and hold what has to wait."""
         partition = self._partition
-        for work in list(partition.book.works.values()):
-            work.is_dormant = work.submission.kind is WorkKind.REQUEST
+        for work in list(partition.work_registry.works.values()):
+            work.awaits_resubmission = work.submission.kind is WorkKind.REQUEST
             for task in work.tasks:
                 if task.state.is_final:
                     continue
                 attempt = task.attempt
                 if attempt is None:
-                    partition.enqueue(task, held=True)
+                    partition.enqueue(task, may_be_running=True)
                 elif attempt.worker in partition.ledger.workers:
-                    partition.scheduler.charge(attempt)
+                    partition.scheduler.allocate_running(attempt)
                 else:
                     self._stranded.append(attempt.attempt_id)
             if work.cancelled:
@@ -96,10 +96,10 @@
         ledger = self._partition.ledger
         listed: set[str] = set()
         for info in workers:
-            ledger.add(info)
+            ledger.add_or_update(info)
             listed.add(info.name)
             if info.leaving:
-                self._partition.evacuate(info.name)
+                self._partition.evacuate_worker(info.name)
         for name in set(ledger.workers) - listed:
             self._remove(name)
         for name in set(witnesses) - listed:
@@ -114,7 +114,7 @@
         for ended in report.ended:
             self._take_end(name, ended)
         partition.ledger.workers[name].boot_id = report.boot_id
-        partition.ledger.set_usage(name, report.usage)
+        partition.ledger.set_measured_usage(name, report.usage)
         self._settle_former_attempts(name, report)
         partition.ledger.change_state(name, "adopt")
         self._note_leaving(name, report)
@@ -132,20 +132,22 @@
         partition.ledger.workers[name].boot_id = report.boot_id
         present = {running.attempt_id for running in report.running}
         for attempt_id in present:
-            partition.started(attempt_id)
+            partition.mark_started(attempt_id)
             self._stop_unwanted(name, attempt_id)
         self._end_absent(name, present, sent_s, report)
         if partition.ledger.workers[name].state is WorkerState.SILENT:
             partition.ledger.change_state(name, "adopt")
         self._note_leaving(name, report)
-        partition.ledger.set_usage(name, report.usage)
+        partition.ledger.set_measured_usage(name, report.usage)
 
     def check_silence(self) -> None:
         """Close workers that fell silent, and end attempts whose leases lapsed."""
         now_s = self._clock.now()
         if self._stranded and now_s - self._opened_s > RERUN_WAIT_S:
             for attempt_id in self._stranded:
-                self._partition.ended(attempt_id, AttemptEnd.LOST, reason="worker_gone")
+                self._partition.mark_ended(
+                    attempt_id, AttemptEnd.LOST, reason="worker_gone"
+                )
             self._stranded.clear()
         for name, worker in self._partition.ledger.workers.items():
             silent_s = now_s - self._heard_s.get(name, self._opened_s)
@@ -178,10 +180,10 @@
 
     def _join(self, submission: Submission, orphan: Attempt) -> None:
         """Make an orphan the attempt in hand of its task."""
-        task = self._partition.book.task(orphan.task_id)
+        task = self._partition.work_registry.find_task(orphan.task_id)
         if task is None or task.state is not TaskState.PENDING:
             return
-        self._partition.unqueue(task)
+        self._partition.dequeue(task)
         task.attempt = Attempt(
             attempt_id=orphan.attempt_id,
             task_id=orphan.task_id,
@@ -193,7 +195,7 @@
         )
         task.state = TaskState.STARTING
         self._orphans.pop(orphan.attempt_id, None)
-        self._partition.started(orphan.attempt_id)
+        self._partition.mark_started(orphan.attempt_id)
 
     def _adopt_running(self, name: str, running: RunningAttempt) -> None:
         partition = self._partition
@@ -202,16 +204,19 @@
             resources=running.resources,
             team=running.team,
         )
-        partition.scheduler.charge(attempt)
-        if partition.book.current_task(running.attempt_id) is not None:
-            partition.started(running.attempt_id)
+        partition.scheduler.allocate_running(attempt)
+        if (
+            partition.work_registry.find_task_by_current_attempt(running.attempt_id)
+            is not None
+        ):
+            partition.mark_started(running.attempt_id)
             return
-        task = partition.book.task(attempt.task_id)
+        task = partition.work_registry.find_task(attempt.task_id)
         if task is not None and task.state is TaskState.PENDING:
             self._orphans[running.attempt_id] = attempt
             self._join(task.submission, attempt)
         elif task is not None:
-            partition.order_stop(StopOrder(name, running.attempt_id, False))
+            partition.stop_unknown_attempt(StopOrder(name, running.attempt_id, False))
             self._orphans[running.attempt_id] = attempt
         else:
             self._orphans[running.attempt_id] = attempt
@@ -231,7 +236,7 @@
     def _take_end(self, name: str, ended: EndedAttempt) -> None:
         partition = self._partition
         attempt_id = ended.attempt_id
-        task = partition.book.task(task_id_of(attempt_id))
+        task = partition.work_registry.find_task(task_id_of(attempt_id))
         orphan = self._orphans.pop(attempt_id, None)
         if orphan is not None:
             partition.scheduler.release(orphan)
@@ -243,13 +248,15 @@
             return
         if task.state is TaskState.PENDING:
             self._join(task.submission, self._foreign_attempt(name, attempt_id))
-        if partition.book.current_task(attempt_id) is not None:
-            partition.ended(attempt_id, ended.end, ended.answer)
-            is_recorded = task.submission.is_journalled and not task.record_due
+        if partition.work_registry.find_task_by_current_attempt(attempt_id) is not None:
+            partition.mark_ended(attempt_id, ended.end, ended.answer)
+            is_recorded = (
+                task.submission.is_journalled and not task.is_end_record_deferred
+            )
             if task.state.is_final and not is_recorded:
-                task.acknowledgement_due = True
+                task.is_acknowledgement_deferred = True
                 return
-        if not task.acknowledgement_due:
+        if not task.is_acknowledgement_deferred:
             partition.acknowledge(name, attempt_id)
 
     def _settle_former_attempts(self, name: str, report: WorkerReport) -> None:
@@ -265,7 +272,7 @@
             attempt_id = attempt.attempt_id
             if attempt_id in present or attempt.epoch == partition.epoch:
                 continue
-            task = partition.book.current_task(attempt_id)
+            task = partition.work_registry.find_task_by_current_attempt(attempt_id)
             if task is None:
                 self._drop_orphan(attempt)
             elif worker.info.fencing:
@@ -295,12 +302,12 @@
             attempt_id = attempt.attempt_id
             if attempt_id in present:
                 continue
-            task = partition.book.current_task(attempt_id)
+            task = partition.work_registry.find_task_by_current_attempt(attempt_id)
             if task is None:
                 self._drop_orphan(attempt)
             elif task.state is TaskState.RUNNING:
                 if task.acknowledged_at_s < sent_s:
-                    partition.ended(attempt_id, AttemptEnd.LOST, reason="vanished")
+                    partition.mark_ended(attempt_id, AttemptEnd.LOST, reason="vanished")
             elif task.state is TaskState.STARTING:
                 valid_until_s = task.start_valid_until_s
                 if valid_until_s is not None and report.clock_s > valid_until_s:
@@ -316,7 +323,7 @@
         end = AttemptEnd.LOST
         if attempt.boot_id and attempt.boot_id == report.boot_id:
             end = AttemptEnd.NOT_RUN
-        self._partition.ended(attempt.attempt_id, end, reason="never_started")
+        self._partition.mark_ended(attempt.attempt_id, end, reason="never_started")
 
     def _drop_orphan(self, attempt: Attempt) -> None:
         """Give back the room of an orphan that runs no more."""
@@ -325,26 +332,31 @@
 
     def _lose_all(self, name: str, attempts: list[Attempt]) -> None:
         for attempt in attempts:
-            task = self._partition.book.current_task(attempt.attempt_id)
+            task = self._partition.work_registry.find_task_by_current_attempt(
+                attempt.attempt_id
+            )
             if task is None:
                 self._orphans.pop(attempt.attempt_id, None)
                 self._partition.scheduler.release(attempt)
             elif task.state is TaskState.PLACED:
-                self._partition.ended(
+                self._partition.mark_ended(
                     attempt.attempt_id, AttemptEnd.NOT_RUN, reason="worker_silent"
                 )
             else:
-                self._partition.ended(
+                self._partition.mark_ended(
                     attempt.attempt_id, AttemptEnd.LOST, reason="worker_silent"
                 )
 
     def _stop_unwanted(self, name: str, attempt_id: str) -> None:
         """Stop an attempt whose task no longer wants it."""
         partition = self._partition
-        if attempt_id in self._orphans or partition.book.current_task(attempt_id):
+        if (
+            attempt_id in self._orphans
+            or partition.work_registry.find_task_by_current_attempt(attempt_id)
+        ):
             return
-        if partition.book.task(task_id_of(attempt_id)) is not None:
-            partition.order_stop(StopOrder(name, attempt_id, False))
+        if partition.work_registry.find_task(task_id_of(attempt_id)) is not None:
+            partition.stop_unknown_attempt(StopOrder(name, attempt_id, False))
 
     def _hear(self, name: str, sent_s: float) -> None:
         self._heard_s[name] = max(self._heard_s.get(name, sent_s), sent_s)
@@ -354,7 +366,7 @@
         worker = ledger.workers[name]
         if report.leaving:
             ledger.change_state(name, "leave")
-            self._partition.evacuate(name)
+            self._partition.evacuate_worker(name)
         elif worker.state is WorkerState.LEAVING and not worker.info.leaving:
             ledger.change_state(name, "return_")
             ledger.change_state(name, "adopt")
--- a/src/fuchsiadale/decision/reservation.py
+++ b/src/fuchsiadale/decision/reservation.py
@@ -34,7 +34,7 @@
     expires_s: float
 
 
-def tasks_that_fit(room: Resources, need: Resources) -> int:
+def count_fitting_tasks(room: Resources, need: Resources) -> int:
     """Return how many tasks of size `need` fit into `room`."""
     counts = [
         available // wanted
@@ -81,7 +81,7 @@
         if self._current is not None and self._current.work_id == work_id:
             self._current = None
 
-    def request(self, tasks: Sequence[Task], hold_s: float) -> None:
+    def reserve_workers(self, tasks: Sequence[Task], hold_s: float) -> None:
         """Reserve workers for a gang unless another one holds a reservation."""
         now_s = self._clock.now()
         self._expire(now_s, hold_s)
@@ -97,7 +97,7 @@
                 expires_s=now_s + hold_s,
             )
 
-    def is_open_to(self, task: Task, worker: Worker) -> bool:
+    def allows_placement(self, task: Task, worker: Worker) -> bool:
         """Tell whether a task may be placed despite the reservation."""
         current = self._current
         if current is None or worker.info.name not in current.workers:
@@ -131,7 +131,7 @@
         chosen: list[str] = []
         missing = len(tasks)
         for worker in open_workers:
-            fits = tasks_that_fit(worker.info.capacity, need)
+            fits = count_fitting_tasks(worker.info.capacity, need)
             if fits > 0:
                 chosen.append(worker.info.name)
                 missing -= fits
--- a/src/fuchsiadale/decision/scheduler.py
+++ b/src/fuchsiadale/decision/scheduler.py
@@ -6,12 +6,12 @@
 
 from attrs import define, frozen
 
-from fuchsiadale.decision.claims import Claims
+from fuchsiadale.decision.claims import WorkerClaims
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.constants import GANG_RESERVATION_S
 from fuchsiadale.decision.fairness import (
     FairQueue,
-    LaneKey,
+    TaskGroupKey,
     OrderWeights,
     TeamUsage,
 )
@@ -21,7 +21,7 @@
     PlacementPolicy,
     SpreadPlacement,
     WorkerFilter,
-    choose_all,
+    place_all_or_none,
 )
 from fuchsiadale.decision.preemption import Preemption, PreemptionPlanner
 from fuchsiadale.decision.reservation import GangReservations
@@ -35,7 +35,7 @@
 )
 
 
-def default_policies() -> dict[WorkKind, PlacementPolicy]:
+def default_placement_policies() -> dict[WorkKind, PlacementPolicy]:
     """Return the placement policy of each kind of work."""
     best_fit = BestFitPlacement()
     return {
@@ -103,7 +103,7 @@
         self._ledger = ledger
         self._clock = clock
         self._epoch = epoch
-        self._policies = dict(policies or default_policies())
+        self._policies = dict(policies or default_placement_policies())
         self._usage: dict[str, TeamUsage] = {}
         self._allowances: dict[str, TeamAllowance] = {}
         self._queues = {
@@ -112,7 +112,7 @@
         self.fleet_capacity: Resources | None = None
         self._preemption = PreemptionPlanner(ledger, clock)
         self._reservations = GangReservations(ledger, clock)
-        self._claims = Claims(ledger, clock)
+        self._claims = WorkerClaims(ledger, clock)
 
     @property
     def usage(self) -> dict[str, TeamUsage]:
@@ -133,7 +133,7 @@
         """Change how teams are ordered."""
         for queue in self._queues.values():
             queue.weights = weights
-            queue.reorder()
+            queue.reorder_all()
 
     def set_share(self, team: str, share: float) -> None:
         """Change a team's share."""
@@ -142,9 +142,9 @@
             usage.share = share
             self._touch(team)
 
-    def set_remote_share(self, team: str, remote_share: float) -> None:
+    def set_remote_dominant_share(self, team: str, remote_share: float) -> None:
         """Take what a team uses of the fleet in other partitions."""
-        self._usage.setdefault(team, TeamUsage()).remote_share = remote_share
+        self._usage.setdefault(team, TeamUsage()).remote_dominant_share = remote_share
         self._touch(team)
 
     def set_grant(self, team: str, grant: Resources) -> None:
@@ -161,23 +161,23 @@
         """Take a pending task out of its queue."""
         self._dequeue(self._queues[task.submission.priority], task)
 
-    def waiting(self) -> Iterator[Task]:
+    def pending_tasks(self) -> Iterator[Task]:
         """Yield every queued task, urgent ones first."""
         for priority in Priority:
-            yield from self._queues[priority].waiting()
+            yield from self._queues[priority].pending_tasks()
 
-    def charge(self, attempt: Attempt) -> None:
+    def allocate_running(self, attempt: Attempt) -> None:
         """Charge an attempt that was found running on its worker."""
         worker = self._ledger.workers[attempt.worker]
         if attempt.attempt_id in worker.attempts:
             return
-        self._ledger.charge(attempt)
+        self._ledger.allocate(attempt)
         self._use(attempt.team, attempt.resources)
 
     def release(self, attempt: Attempt) -> bool:
         """Give back the room of an attempt that surely ended."""
-        self._preemption.ended(attempt)
-        if not self._ledger.give_back(attempt):
+        self._preemption.remove_running(attempt)
+        if not self._ledger.release(attempt):
             return False
         usage = self._usage[attempt.team]
         usage.local = usage.local - attempt.resources
@@ -186,11 +186,11 @@
 
     def schedule(self) -> Iterator[Placement]:
         """Place what fits, in the teams' order; each placement is charged."""
-        self._claims.expire()
+        self._claims.drop_expired()
         for priority in Priority:
             queue = self._queues[priority]
-            queue.set_total(self.fleet_capacity or self._ledger.capacity)
-            failed: set[LaneKey] = set()
+            queue.set_total_capacity(self.fleet_capacity or self._ledger.capacity)
+            failed: set[TaskGroupKey] = set()
             for team in queue.teams_in_order():
                 yield from self._schedule_team(queue, team, failed)
             self._claim_for_neediest(queue)
@@ -199,7 +199,7 @@
         """Choose attempts to stop so that waiting urgent tasks get room."""
         urgent = self._queues[Priority.URGENT]
         return self._preemption.plan(
-            task for task in urgent.waiting() if self._within_grant(task, 1)
+            task for task in urgent.pending_tasks() if self._within_grant(task, 1)
         )
 
     def attempts_above_grant(self, team: str) -> list[Attempt]:
@@ -210,38 +210,38 @@
             return []
         excess = usage.local
         chosen: list[Attempt] = []
-        for attempt in self._preemption.youngest_of(team):
+        for attempt in self._preemption.stoppable_youngest_first(team):
             if excess.fits_in(allowance.grant):
                 break
             chosen.append(attempt)
             excess = excess - attempt.resources
         return chosen
 
-    def started(self, task: Task) -> None:
+    def add_running(self, task: Task) -> None:
         """Note that a task's attempt was sent, so that it can be preempted."""
-        self._preemption.started(task)
+        self._preemption.add_running(task)
 
     def _dequeue(self, queue: FairQueue, task: Task) -> None:
         """Take a task out of its queue, and drop what was kept for it."""
         queue.remove(task)
-        self._preemption.forget(task)
+        self._preemption.drop_hold(task)
         self._claims.drop(task.task_id)
         if task.submission.kind is WorkKind.GANG:
             self._reservations.drop(task.submission.work_id)
 
     def _schedule_team(
-        self, queue: FairQueue, team: str, failed: set[LaneKey]
+        self, queue: FairQueue, team: str, failed: set[TaskGroupKey]
     ) -> Iterator[Placement]:
         """Place the first lane head of a team that fits.
 
         Lanes that did not fit are noted in `failed`, for all teams of the pass.
         """
-        for key, task in queue.lanes(team):
+        for key, task in queue.group_heads(team):
             if key in failed:
                 continue
             placements = self._place_lane(queue, key, task)
             if placements:
-                queue.touch(team)
+                queue.reorder_team(team)
                 yield from placements
                 return
             if self._within_grant(task, 1):
@@ -250,25 +250,25 @@
     def _claim_for_neediest(self, queue: FairQueue) -> None:
         """Let room gather for the oldest tasks of the teams that come first."""
         for team in queue.teams_in_order():
-            if not self._claims.has_room:
+            if not self._claims.is_below_limit:
                 return
-            for key, task in queue.lanes(team):
+            for key, task in queue.group_heads(team):
                 if key.kind is not WorkKind.GANG and self._within_grant(task, 1):
-                    self._claims.request(task, self._filter_for(task))
+                    self._claims.claim_worker(task, self._filter_for(task))
                     break
 
     def _place_lane(
-        self, queue: FairQueue, key: LaneKey, task: Task
+        self, queue: FairQueue, key: TaskGroupKey, task: Task
     ) -> list[Placement]:
         if key.kind is WorkKind.GANG:
             return self._place_gang(queue, key, task)
         if not self._within_grant(task, 1):
             return []
         policy = self._policies[key.kind]
-        worker = policy.choose(task, self._ledger, self._filter_for(task))
-        if worker is None and task.failed_on:
-            task.failed_on.clear()
-            worker = policy.choose(task, self._ledger, self._filter_for(task))
+        worker = policy.choose_worker(task, self._ledger, self._filter_for(task))
+        if worker is None and task.failed_worker_names:
+            task.failed_worker_names.clear()
+            worker = policy.choose_worker(task, self._ledger, self._filter_for(task))
         if worker is None:
             return []
         attempt = self._reserve(task, worker)
@@ -276,14 +276,14 @@
         return [Placement(task, attempt)]
 
     def _place_gang(
-        self, queue: FairQueue, key: LaneKey, head: Task
+        self, queue: FairQueue, key: TaskGroupKey, head: Task
     ) -> list[Placement]:
         """Place all tasks of a gang at once, or reserve workers for it."""
         tasks = queue.lane(head.submission.team, key)
         unfinished = [task for task in head.work.tasks if not task.state.is_final]
         if len(tasks) < len(unfinished) or not self._within_grant(head, len(tasks)):
             return []
-        if choose_all(
+        if place_all_or_none(
             self._policies[WorkKind.GANG],
             tasks,
             self._ledger,
@@ -298,10 +298,10 @@
                 for task in tasks
                 if task.attempt is not None
             ]
-        self._reservations.request(tasks, GANG_RESERVATION_S)
+        self._reservations.reserve_workers(tasks, GANG_RESERVATION_S)
         current = self._reservations.current
         if current is not None:
-            self._claims.give_way(current.workers)
+            self._claims.drop_claims_on(current.workers)
         return []
 
     def _reserve(self, task: Task, worker: Worker) -> Attempt:
@@ -317,7 +317,7 @@
             team=submission.team,
             boot_id=worker.boot_id,
         )
-        self._ledger.charge(attempt)
+        self._ledger.allocate(attempt)
         self._use(submission.team, submission.resources)
         task.attempt = attempt
         task.state = TaskState.PLACED
@@ -332,9 +332,9 @@
     def _filter_for(self, task: Task) -> WorkerFilter:
         def allowed(worker: Worker) -> bool:
             return (
-                self._preemption.is_open_to(task, worker)
-                and self._reservations.is_open_to(task, worker)
-                and self._claims.is_open_to(task, worker)
+                self._preemption.allows_placement(task, worker)
+                and self._reservations.allows_placement(task, worker)
+                and self._claims.allows_placement(task, worker)
             )
 
         return allowed
@@ -358,4 +358,4 @@
 
     def _touch(self, team: str) -> None:
         for queue in self._queues.values():
-            queue.touch(team)
+            queue.reorder_team(team)
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -113,7 +113,7 @@
             state=worker.state,
             failure_domain=worker.info.failure_domain,
             capacity=worker.info.capacity,
-            free=worker.free,
+            free=worker.unallocated,
             attempts=list(worker.attempts),
         )
         for name, worker in sorted(partition.ledger.workers.items())
@@ -123,7 +123,7 @@
         epoch=partition.epoch,
         may_act=partition.authority.may_act(),
         pending=scheduler.pending_count,
-        works=len(partition.book.works),
+        works=len(partition.work_registry.works),
         workers=workers,
         teams=teams,
     )
--- a/src/fuchsiadale/decision/work.py
+++ b/src/fuchsiadale/decision/work.py
@@ -191,7 +191,7 @@
     is_omitted: bool = False
 
     @property
-    def is_recordable(self) -> bool:
+    def fits_in_journal(self) -> bool:
         """Whether it is small enough to be recorded."""
         return len(self.body) <= MAX_ANSWER_IN_JOURNAL_BYTES
 
@@ -246,12 +246,12 @@
     started_at_s: float | None = None
     eligible_at_s: float = 0.0
     acknowledged_at_s: float = 0.0
-    failed_on: set[str] = field(factory=set)
+    failed_worker_names: set[str] = field(factory=set)
     answer: TaskAnswer | None = None
     stop_requested: bool = False
     start_valid_until_s: float | None = None
-    acknowledgement_due: bool = False
-    record_due: bool = False
+    is_acknowledgement_deferred: bool = False
+    is_end_record_deferred: bool = False
     may_have_run: bool = False
 
     @property
@@ -290,19 +290,19 @@
     cancelled: bool = False
     refusal: Refusal | None = None
     ended_at_s: float | None = None
-    is_dormant: bool = False
+    awaits_resubmission: bool = False
     is_delivered: bool = False
-    remaining: int = 0
+    unfinished_count: int = 0
 
     @property
     def is_final(self) -> bool:
         """Whether every task has ended."""
-        return self.remaining == 0
+        return self.unfinished_count == 0
 
 
 def make_work(submission: Submission, now_s: float) -> Work:
     """Return the work of a submission with its tasks pending."""
-    work = Work(submission, remaining=submission.tasks)
+    work = Work(submission, unfinished_count=submission.tasks)
     for index in range(submission.tasks):
         task_id = f"{submission.work_id}/{index}"
         work.tasks.append(
--- a/src/fuchsiadale/decision/work_registry.py
+++ b/src/fuchsiadale/decision/work_registry.py
@@ -43,14 +43,14 @@
 
 
 @frozen
-class TeamKey:
+class IdempotencyKey:
     """An idempotency key, which belongs to one team."""
 
     team: str
     key: str
 
 
-def planned(attempt: Attempt) -> Planned:
+def planned_event(attempt: Attempt) -> Planned:
     """Return the event that records an attempt."""
     return Planned(
         task_id=attempt.task_id,
@@ -61,7 +61,7 @@
     )
 
 
-def ended(task: Task, state: TaskState, end: AttemptEnd) -> Ended:
+def ended_event(task: Task, state: TaskState, end: AttemptEnd) -> Ended:
     """Return the event that records the end of a task's attempt.
 
     Parameters
@@ -75,7 +75,7 @@
     """
     attempt = task.attempt
     answer = task.answer
-    is_recordable = answer is None or answer.is_recordable
+    is_recordable = answer is None or answer.fits_in_journal
     return Ended(
         task_id=task.task_id,
         attempt_id=attempt.attempt_id if attempt else "",
@@ -88,19 +88,19 @@
     )
 
 
-class WorkBook:
+class WorkRegistry:
     """All work of a partition, by id and by idempotency key."""
 
     def __init__(self) -> None:
-        self._works: dict[str, Work] = {}
-        self._keys: dict[TeamKey, str] = {}
+        self._work_by_id: dict[str, Work] = {}
+        self._work_id_by_key: dict[IdempotencyKey, str] = {}
 
     @property
     def works(self) -> dict[str, Work]:
         """The works by id."""
-        return self._works
+        return self._work_by_id
 
-    def find(self, submission: Submission) -> Result[Work | None, Refusal]:
+    def find_duplicate(self, submission: Submission) -> Result[Work | None, Refusal]:
         """Return the work that a repeated submission refers to.
 
         Parameters
@@ -114,15 +114,17 @@
             The earlier work, None if there is none, or a refusal with kind
             ``KEY_REUSED`` if the key was used for something else.
         """
-        work = self._works.get(submission.work_id)
+        work = self._work_by_id.get(submission.work_id)
         if work is not None:
             return Ok(work)
         if not submission.key:
             return Ok(None)
-        work_id = self._keys.get(TeamKey(submission.team, submission.key))
+        work_id = self._work_id_by_key.get(
+            IdempotencyKey(submission.team, submission.key)
+        )
         if work_id is None:
             return Ok(None)
-        earlier = self._works[work_id]
+        earlier = self._work_by_id[work_id]
         repeated = evolve(
             submission,
             work_id=earlier.submission.work_id,
@@ -137,57 +139,59 @@
     def add(self, submission: Submission, now_s: float) -> Work:
         """Enter a submission."""
         work = make_work(submission, now_s)
-        self._works[submission.work_id] = work
+        self._work_by_id[submission.work_id] = work
         if submission.key:
-            key = TeamKey(submission.team, submission.key)
-            self._keys[key] = submission.work_id
+            key = IdempotencyKey(submission.team, submission.key)
+            self._work_id_by_key[key] = submission.work_id
         return work
 
     def discard(self, work: Work) -> None:
         """Remove work as if it had never been entered."""
         submission = work.submission
-        self._works.pop(submission.work_id, None)
+        self._work_by_id.pop(submission.work_id, None)
         if submission.key:
-            self._keys.pop(TeamKey(submission.team, submission.key), None)
+            self._work_id_by_key.pop(
+                IdempotencyKey(submission.team, submission.key), None
+            )
 
-    def task(self, task_id: str) -> Task | None:
+    def find_task(self, task_id: str) -> Task | None:
         """Return the task with this id, if it is known."""
-        work = self._works.get(work_id_of(task_id))
+        work = self._work_by_id.get(work_id_of(task_id))
         if work is None:
             return None
         index = int(task_id.rpartition("/")[2])
         return work.tasks[index] if index < len(work.tasks) else None
 
-    def current_task(self, attempt_id: str) -> Task | None:
+    def find_task_by_current_attempt(self, attempt_id: str) -> Task | None:
         """Return the task whose attempt in hand has this id."""
-        task = self.task(task_id_of(attempt_id))
+        task = self.find_task(task_id_of(attempt_id))
         if task is None or task.attempt is None or task.state.is_final:
             return None
         return task if task.attempt.attempt_id == attempt_id else None
 
-    def has_unsettled_starts(self) -> bool:
+    def has_unconfirmed_starts(self) -> bool:
         """Tell whether an attempt is planned or sent, but not confirmed."""
         return any(
             task.state in (TaskState.PLACED, TaskState.STARTING)
-            for work in self._works.values()
+            for work in self._work_by_id.values()
             if not work.is_final
             for task in work.tasks
         )
 
-    def finish(self, task: Task, state: TaskState, now_s: float) -> None:
+    def finish_task(self, task: Task, state: TaskState, now_s: float) -> None:
         """Put a task into a final state."""
         if task.state.is_final:
             return
         task.state = state
-        task.work.remaining -= 1
+        task.work.unfinished_count -= 1
         if task.work.is_final:
             task.work.ended_at_s = now_s
 
-    def expire(self, now_s: float) -> int:
+    def remove_expired(self, now_s: float) -> int:
         """Drop work that ended long ago; return how much was dropped."""
         old: list[Work] = []
-        for work in self._works.values():
-            if work.is_dormant and _is_abandoned(work, now_s):
+        for work in self._work_by_id.values():
+            if work.awaits_resubmission and _is_abandoned(work, now_s):
                 old.append(work)
             if work.ended_at_s is None:
                 continue
@@ -211,21 +215,21 @@
         """
         match event:
             case Accepted(submission=submission):
-                if submission.work_id not in self._works:
+                if submission.work_id not in self._work_by_id:
                     self.add(submission, now_s)
             case Planned():
                 self._replay_planned(event)
             case Ended():
                 self._replay_ended(event, now_s)
             case Cancelled(work_id=work_id, refusal=refusal):
-                work = self._works.get(work_id)
+                work = self._work_by_id.get(work_id)
                 if work is not None:
                     work.cancelled = True
                     work.refusal = refusal
 
-    def snapshot(self) -> Iterator[JournalEvent]:
+    def snapshot_events(self) -> Iterator[JournalEvent]:
         """Yield the events that lead to the present state."""
-        for work in self._works.values():
+        for work in self._work_by_id.values():
             if not work.submission.is_journalled:
                 continue
             yield Accepted(work.submission)
@@ -237,12 +241,12 @@
     def _snapshot_task(self, task: Task) -> Iterator[JournalEvent]:
         attempt = task.attempt
         if task.state.is_final:
-            yield ended(task, task.state, _END_OF_STATE[task.state])
+            yield ended_event(task, task.state, _END_OF_STATE[task.state])
         elif attempt is not None:
-            yield planned(attempt)
+            yield planned_event(attempt)
 
     def _replay_planned(self, event: Planned) -> None:
-        task = self.task(event.task_id)
+        task = self.find_task(event.task_id)
         if task is None or task.state.is_final:
             return
         submission = task.submission
@@ -259,7 +263,7 @@
         )
 
     def _replay_ended(self, event: Ended, now_s: float) -> None:
-        task = self.task(event.task_id)
+        task = self.find_task(event.task_id)
         if task is None or task.state.is_final:
             return
         attempt = task.attempt
@@ -271,7 +275,7 @@
             task.answer = TaskAnswer(
                 event.attempt_id, event.worker, event.answer, event.is_omitted
             )
-            self.finish(task, event.state, now_s)
+            self.finish_task(task, event.state, now_s)
         else:
             task.attempt = None
             task.state = TaskState.PENDING
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -185,7 +185,9 @@
                 if usage is None:
                     continue
                 elsewhere = (total - usage.local).maximum(NO_RESOURCES)
-                scheduler.set_remote_share(team, elsewhere.dominant_share(capacity))
+                scheduler.set_remote_dominant_share(
+                    team, elsewhere.dominant_share(capacity)
+                )
         idle = [team for team, used in self._totals.items() if used == NO_RESOURCES]
         for team in idle:
             del self._totals[team]
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -143,7 +143,8 @@
     async def _snapshot(self, first: int) -> None:
         """Write a snapshot that holds everything recorded before row `first`."""
         entry = JournalEntry(
-            self.driver.name, list(self.driver.partition.book.snapshot())
+            self.driver.name,
+            list(self.driver.partition.work_registry.snapshot_events()),
         )
         name = f"snapshot/{self.driver.name}/{self.row.epoch}-{first}"
         self.driver.events_since_snapshot = 0
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -105,7 +105,7 @@
         now_s = self._tools.clock.now()
         self.set_workers(workers, witnesses)
         for event in events:
-            self.partition.book.replay(event, self.partition.epoch, now_s)
+            self.partition.work_registry.replay(event, self.partition.epoch, now_s)
         self.reconciliation.recover()
         self._supervisor.start("tick", self._tick)
 
@@ -185,7 +185,7 @@
             The member whose caller no longer waits; the work goes on if the caller
             of another member waits for it.
         """
-        work = self.partition.book.works.get(work_id)
+        work = self.partition.work_registry.works.get(work_id)
         if work is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         others = self._subscribers.get(work_id, set()) - {member}
@@ -200,7 +200,7 @@
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
-        work = self.partition.book.works.get(work_id)
+        work = self.partition.work_registry.works.get(work_id)
         if work is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         if not work.is_final and hold_s > 0:
@@ -217,7 +217,7 @@
         """Return views of a team's jobs."""
         return [
             view_of(work)
-            for work in self.partition.book.works.values()
+            for work in self.partition.work_registry.works.values()
             if work.submission.team == team
             and work.submission.kind is not WorkKind.REQUEST
         ]
@@ -227,7 +227,7 @@
         self._is_settling = True
         self.partition.pause()
         give_up_s = self._tools.clock.now() + SETTLE_WAIT_S
-        while self.partition.book.has_unsettled_starts():
+        while self.partition.work_registry.has_unconfirmed_starts():
             if self._tools.clock.now() >= give_up_s:
                 return
             await asyncio.sleep(SETTLE_POLL_S)
@@ -258,7 +258,7 @@
         if self._is_settling or self.partition.authority.is_revoked:
             message = f"this host no longer owns partition {self.name}"
             return Refusal(ErrorKind.NOT_OWNER, message)
-        is_known = submission.work_id in self.partition.book.works
+        is_known = submission.work_id in self.partition.work_registry.works
         needs_record = (
             submission.kind is not WorkKind.REQUEST or not submission.idempotent
         )
@@ -276,7 +276,7 @@
             return Ok(None)
         work_id = work.submission.work_id
         if self._tools.journal.withdraw(work_id):
-            self.partition.withdraw(work)
+            self.partition.roll_back_acceptance(work)
             message = "the store is out of reach; the job was not accepted"
             return Err(Refusal(ErrorKind.STORE_UNAVAILABLE, message))
         message = f"job {work_id} may be on record; ask for it later"
@@ -303,7 +303,7 @@
                 self._start_unrecorded()
             if self._tools.clock.now() >= expires_s:
                 expires_s += EXPIRY_PERIOD_S
-                self.partition.book.expire(self._tools.clock.now())
+                self.partition.work_registry.remove_expired(self._tools.clock.now())
                 self.reconciliation.expire_orphans()
             self.kick()
 
@@ -329,7 +329,9 @@
     def _send_starts(self, actions: Actions, ticket: Ticket) -> None:
         journalled: list[Attempt] = []
         for attempt in actions.starts:
-            task = self.partition.book.current_task(attempt.attempt_id)
+            task = self.partition.work_registry.find_task_by_current_attempt(
+                attempt.attempt_id
+            )
             if task is not None and task.submission.is_journalled:
                 journalled.append(attempt)
             else:
@@ -351,7 +353,9 @@
     def _start_unrecorded(self) -> None:
         """Send starts of idempotent work that the store cannot record now."""
         for attempt in self._awaiting_record:
-            task = self.partition.book.current_task(attempt.attempt_id)
+            task = self.partition.work_registry.find_task_by_current_attempt(
+                attempt.attempt_id
+            )
             if task is not None and task.submission.idempotent:
                 self._send_start(attempt)
 
@@ -378,5 +382,5 @@
                 watcher.set_result(None)
         for member in self._subscribers.pop(work_id, set()):
             self._tools.send_result(
-                member, work, lambda: self.partition.delivered(work)
+                member, work, lambda: self.partition.mark_delivered(work)
             )
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -198,7 +198,7 @@
             return
         for reply in answer.ok_value:
             if reply.refusal is None:
-                self._partition.started(reply.attempt_id)
+                self._partition.mark_started(reply.attempt_id)
             else:
                 self._start_refused(reply.attempt_id, reply.refusal)
         self._on_change()
@@ -206,9 +206,11 @@
     def _call_off(self, attempts: list[Attempt]) -> None:
         """Give back what may not be sent because the right to act has lapsed."""
         for attempt in attempts:
-            task = self._partition.book.current_task(attempt.attempt_id)
+            task = self._partition.work_registry.find_task_by_current_attempt(
+                attempt.attempt_id
+            )
             if task is not None and task.state is TaskState.PLACED:
-                self._partition.ended(
+                self._partition.mark_ended(
                     attempt.attempt_id, AttemptEnd.NOT_RUN, reason="no_authority"
                 )
 
@@ -218,7 +220,7 @@
         if failure is not CallFailure.NOT_SENT:
             return
         for order in orders:
-            self._partition.ended(
+            self._partition.mark_ended(
                 order.attempt_id, AttemptEnd.NOT_RUN, reason=failure.value
             )
         self._on_change()
@@ -229,7 +231,7 @@
             self._on_stale()
         if refusal is SessionRefusal.LEAVING:
             self._partition.ledger.change_state(self._name, "leave")
-        self._partition.ended(attempt_id, AttemptEnd.NOT_RUN, reason=refusal.value)
+        self._partition.mark_ended(attempt_id, AttemptEnd.NOT_RUN, reason=refusal.value)
 
     async def _send_stops(self, orders: list[StopOrder]) -> None:
         messages = [
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -17,12 +17,12 @@
 )
 
 PARTITION = "general.0"
-SMALL = Resources(1000, 1024, 0, 1, 1)
-WORKER = Resources(8000, 16384, 0, 8, 64)
+SMALL_TASK_RESOURCES = Resources(1000, 1024, 0, 1, 1)
+WORKER_CAPACITY = Resources(8000, 16384, 0, 8, 64)
 
 
-def make_worker(
-    index: int, capacity: Resources = WORKER, fencing: bool = True
+def make_worker_info(
+    index: int, capacity: Resources = WORKER_CAPACITY, fencing: bool = True
 ) -> WorkerInfo:
     """Return a worker of the test pool."""
     return WorkerInfo(
@@ -40,7 +40,7 @@
     number: int = 0,
     kind: WorkKind = WorkKind.REQUEST,
     team: str = "guild",
-    resources: Resources = SMALL,
+    resources: Resources = SMALL_TASK_RESOURCES,
     tasks: int = 1,
     priority: Priority = Priority.NORMAL,
     idempotent: bool = True,
@@ -66,14 +66,14 @@
     )
 
 
-class PartitionBench:
+class PartitionHarness:
     """A partition whose workers are all adopted, on a clock of its own."""
 
     def __init__(
-        self, workers: int = 3, capacity: Resources = WORKER, epoch: int = 1
+        self, workers: int = 3, capacity: Resources = WORKER_CAPACITY, epoch: int = 1
     ) -> None:
         self.clock = ManualClock(100.0)
-        infos = [make_worker(index, capacity) for index in range(workers)]
+        infos = [make_worker_info(index, capacity) for index in range(workers)]
         names = [info.name for info in infos]
         self.authority = Authority(self.clock, names, taken_over=False)
         self.authority.lease_renewed(self.clock.now())
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -19,7 +19,7 @@
     PlatformState,
 )
 from fuchsiadale.standin.worker import Observation, StandInWorker
-from tests.builders import make_worker
+from tests.builders import make_worker_info
 from tests.links import (
     LinkedObjects,
     LinkedPeers,
@@ -81,7 +81,7 @@
         self.workers: dict[str, StandInWorker] = {}
         self._config = config
         self._wanted_nodes = nodes
-        self._infos = workers or [make_worker(index) for index in range(3)]
+        self._infos = workers or [make_worker_info(index) for index in range(3)]
         self._watchers: list[asyncio.Task[None]] = []
         self._starts = 0
 
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -16,7 +16,7 @@
 from fuchsiadale.decision.views import WorkView
 from fuchsiadale.decision.work import Program, Submission, TaskState, WorkKind
 from fuchsiadale.standin.worker import Observation
-from tests.builders import make_submission, make_worker
+from tests.builders import make_submission, make_worker_info
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
 
@@ -201,7 +201,7 @@
 
 
 async def play(faults: list[Fault], fencing: bool = True) -> None:
-    workers = [make_worker(index, fencing=fencing) for index in range(4)]
+    workers = [make_worker_info(index, fencing=fencing) for index in range(4)]
     config = CONFIG if fencing else CONFIG.replace("{}", "{fencing: false}")
     async with TestCluster(3, workers, config) as cluster:
         chaos = Chaos(cluster)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 from fuchsiadale.decision.errors import ErrorKind, RunState
 from fuchsiadale.decision.ledger import WorkerState
 from fuchsiadale.decision.work import Program, TaskState, WorkKind
-from tests.builders import SMALL, make_submission, make_worker
+from tests.builders import SMALL_TASK_RESOURCES, make_submission, make_worker_info
 from tests.cluster import TestCluster
 from tests.test_takeover import sleeping
 from tests.virtual_loop import run_virtually
@@ -219,7 +219,7 @@
 
 def test_worker_that_left_the_list_comes_back_at_another_address() -> None:
     async def session() -> None:
-        async with TestCluster(nodes=1, workers=[make_worker(0)]) as cluster:
+        async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
             info = cluster.state.workers["worker-0"]
             cluster.state.remove_worker("worker-0")
@@ -324,7 +324,9 @@
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             router = cluster.nodes["entry-0"].router
-            big = make_submission(1, WorkKind.BATCH, resources=SMALL.times(100))
+            big = make_submission(
+                1, WorkKind.BATCH, resources=SMALL_TASK_RESOURCES.times(100)
+            )
             refusal = (await router.submit_job(big)).unwrap_err()
             assert refusal.kind is ErrorKind.INFEASIBLE
             gang = make_submission(2, WorkKind.GANG, tasks=25)
@@ -359,14 +361,14 @@
             assert view.tasks[0].state is TaskState.SUCCEEDED
             ledger = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
             for worker in ledger.partition.ledger.workers.values():
-                assert worker.free == worker.info.capacity
+                assert worker.unallocated == worker.info.capacity
 
     run_virtually(session())
 
 
 def test_rebooted_worker_ends_its_tasks_and_unknown_is_told() -> None:
     async def session() -> None:
-        async with TestCluster(nodes=1, workers=[make_worker(0)]) as cluster:
+        async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
             waiting = asyncio.ensure_future(
                 entry.router.run_request(sleeping(1, 20.0, False))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,7 +22,7 @@
     Resources,
 )
 from fuchsiadale.decision.work import Program, WorkKind
-from tests.builders import SMALL, make_submission, make_worker
+from tests.builders import SMALL_TASK_RESOURCES, make_submission, make_worker_info
 from tests.cluster import TestCluster
 from tests.virtual_loop import run_virtually
 
@@ -153,7 +153,7 @@
 
 def test_fleet_wide_limit_holds_over_partitions_and_a_lowered_one_is_met() -> None:
     async def session() -> None:
-        workers = [make_worker(index) for index in range(9)]
+        workers = [make_worker_info(index) for index in range(9)]
         async with TestCluster(3, workers, LIMITED % 10) as cluster:
             entry = next(iter(cluster.nodes.values()))
             await cluster.until(
@@ -161,7 +161,7 @@
             )
             for number in range(6):
                 submission = make_submission(
-                    number, WorkKind.SERVICE, tasks=8, resources=SMALL
+                    number, WorkKind.SERVICE, tasks=8, resources=SMALL_TASK_RESOURCES
                 )
                 submission = evolve(
                     submission,
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,9 +18,9 @@
     stream_key,
 )
 from fuchsiadale.decision.work import AttemptEnd, Program, TaskState, WorkKind
-from fuchsiadale.decision.work_registry import WorkBook
+from fuchsiadale.decision.work_registry import WorkRegistry
 from fuchsiadale.entry import hosted_partition
-from tests.builders import PARTITION, PartitionBench, make_submission
+from tests.builders import PARTITION, PartitionHarness, make_submission
 from tests.cluster import TestCluster
 from tests.test_takeover import sleeping
 from tests.virtual_loop import run_virtually
@@ -34,7 +34,7 @@
 ]
 
 
-def state_of(book: WorkBook) -> dict[str, object]:
+def state_of(book: WorkRegistry) -> dict[str, object]:
     """Return what has to survive: states, attempts, answers and keys."""
     return {
         task.task_id: (
@@ -60,12 +60,12 @@
 def test_snapshot_and_journal_lead_to_the_owners_state(
     steps: list[tuple[str, int]], snapshot_at: int
 ) -> None:
-    bench = PartitionBench()
+    bench = PartitionHarness()
     events = []
     running: list[str] = []
     for number, (action, pick) in enumerate(steps):
         if number == snapshot_at:
-            events = list(bench.partition.book.snapshot())
+            events = list(bench.partition.work_registry.snapshot_events())
         if action == "submit":
             kind = [WorkKind.BATCH, WorkKind.REQUEST, WorkKind.GANG][pick % 3]
             tasks = 1 if kind is WorkKind.REQUEST else 1 + pick % 3
@@ -74,19 +74,19 @@
             )
         elif running:
             end = ENDS[pick % len(ENDS)]
-            bench.partition.ended(running.pop(pick % len(running)), end, b"answer")
+            bench.partition.mark_ended(running.pop(pick % len(running)), end, b"answer")
         bench.advance(0.5)
         actions = bench.partition.step()
         events.extend(actions.events)
         for attempt in actions.starts:
             bench.partition.mark_sent(attempt, 1e9)
-            bench.partition.started(attempt.attempt_id)
+            bench.partition.mark_started(attempt.attempt_id)
             running.append(attempt.attempt_id)
     row = decode(encode(JournalRow([JournalEntry(PARTITION, events)])), JournalRow)
-    recovered = WorkBook()
+    recovered = WorkRegistry()
     for event in row.unwrap().entries[0].events:
         recovered.replay(event, 2, 0.0)
-    assert state_of(recovered) == state_of(bench.partition.book)
+    assert state_of(recovered) == state_of(bench.partition.work_registry)
 
 
 def test_new_owner_finishes_a_cancellation_and_knows_why_work_failed() -> None:
@@ -132,7 +132,11 @@
                 request = evolve(sleeping(number, 0.1, False), key=key)
                 (await entry.router.run_request(request)).unwrap()
             await asyncio.sleep(60.0)
-            book = cluster.nodes[owner].ownership.drivers["general.0"].partition.book
+            book = (
+                cluster.nodes[owner]
+                .ownership.drivers["general.0"]
+                .partition.work_registry
+            )
             assert list(book.works) == ["general.0.7"]
             await asyncio.sleep(600.0)
             assert list(book.works) == []
