--- a/src/fuchsiadale/decision/actions.py
+++ b/src/fuchsiadale/decision/actions.py
@@ -1,4 +1,4 @@
-"""What a partition's driver has to carry out."""
+"""Actions that a partition decides on and its driver carries out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,17 @@
 
 @frozen
 class StopOrder:
-    """Tells a worker to end an attempt, with a checkpoint first if it can."""
+    """Order to a worker to stop an attempt.
+
+    Attributes
+    ----------
+    worker : str
+        Name of the worker.
+    attempt_id : str
+        The attempt to stop.
+    checkpoint : bool
+        Whether the program is asked to write a checkpoint first, if it can.
+    """
 
     worker: str
     attempt_id: str
@@ -21,7 +31,15 @@
 
 @frozen
 class Acknowledgement:
-    """Tells a worker that the answer of an ended attempt is no longer needed."""
+    """Confirmation to a worker that it may discard the answer of an ended attempt.
+
+    Attributes
+    ----------
+    worker : str
+        Name of the worker.
+    attempt_id : str
+        The attempt that ended.
+    """
 
     worker: str
     attempt_id: str
@@ -29,22 +47,24 @@
 
 @define
 class Actions:
-    """What the driver of a partition has to carry out.
+    """Actions for the driver of a partition to carry out.
 
     Attributes
     ----------
     events : list of JournalEvent
-        To record, in order.
+        Events to write to the journal, in this order.
     starts : list of Attempt
-        To send once `events` are on record, if the work is journalled, or else now.
+        Attempts to start: at once, or once the journal holds `events` if the work is
+        journalled.
     stops : list of StopOrder
-        To send now.
+        Stop orders to send at once.
     acknowledgements : list of Acknowledgement
-        To send once `events` are on record.
+        Acknowledgements to send once the journal holds `events`.
     finished : list of Work
-        Work that just became final.
+        Work whose last task ended since the previous step.
     counts : Counter of str
-        Refusals and retries by reason.
+        Refusals, failures, retries, preemptions and quarantined workers, by metric
+        name and reason.
     """
 
     events: list[JournalEvent] = field(factory=list)
--- a/src/fuchsiadale/decision/admission.py
+++ b/src/fuchsiadale/decision/admission.py
@@ -1,4 +1,4 @@
-"""What a partition refuses at the door."""
+"""Admission control for submissions to a partition."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 def check_admission(
     submission: Submission, ledger: Ledger, pending_count: int
 ) -> Refusal | None:
-    """Return why a submission can never run or may not wait, or None.
+    """Return the refusal of a submission, or None if it is admitted.
+
+    A submission is refused if the queue is full, or if the workers could never run it.
 
     Parameters
     ----------
     submission : Submission
-        The submission.
+        The submission to check.
     ledger : Ledger
-        The partition's workers.
+        Ledger of the partition's workers.
     pending_count : int
-        Number of tasks that wait already.
+        Number of tasks in the queue.
     """
     if pending_count + submission.tasks > MAX_QUEUED_TASKS:
         return Refusal(ErrorKind.QUEUE_FULL, "the partition's queue is full")
@@ -30,15 +32,15 @@
         return Refusal(ErrorKind.INFEASIBLE, message)
     if submission.kind is not WorkKind.GANG:
         return None
-    most = sum(
+    max_concurrent_tasks = sum(
         count_fitting_tasks(worker.info.capacity, submission.resources)
         for worker in ledger.workers.values()
         if worker.state is not WorkerState.GONE
     )
-    if most >= submission.tasks:
+    if max_concurrent_tasks >= submission.tasks:
         return None
     message = (
-        f"the workers hold at most {most} such tasks at once,"
+        f"the workers hold at most {max_concurrent_tasks} such tasks at once,"
         f" the gang has {submission.tasks}"
     )
     return Refusal(ErrorKind.INFEASIBLE, message)
--- a/src/fuchsiadale/decision/delayed.py
+++ b/src/fuchsiadale/decision/delayed.py
@@ -1,4 +1,4 @@
-"""Tasks that wait for a time before they may be placed."""
+"""Queue of tasks that must not be placed before a given time."""
 
 from __future__ import annotations
 
@@ -11,40 +11,47 @@
 
 
 @frozen(order=True)
-class _Entry:
+class _DelayedTask:
+    """Heap item: a task with its sort key."""
+
     eligible_at_s: float
     sequence: int
     task: Task = field(order=False)
 
 
 class DelayedTasks:
-    """A queue ordered by the time from which a task is eligible."""
+    """Tasks in the order of the clock times from which they may be placed.
+
+    A discarded task stays in the heap and is skipped when it becomes due.
+    """
 
     def __init__(self) -> None:
-        self._heap: list[_Entry] = []
-        self._waiting: set[str] = set()
+        self._heap: list[_DelayedTask] = []
+        self._task_ids: set[str] = set()
         self._sequence = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._task_ids)
 
     def push(self, task: Task) -> None:
-        """Add a task that becomes eligible at ``task.eligible_at_s``."""
+        """Add a task that may be placed from ``task.eligible_at_s`` on."""
         self._sequence += 1
-        heapq.heappush(self._heap, _Entry(task.eligible_at_s, self._sequence, task))
-        self._waiting.add(task.task_id)
+        heapq.heappush(
+            self._heap, _DelayedTask(task.eligible_at_s, self._sequence, task)
+        )
+        self._task_ids.add(task.task_id)
 
     def discard(self, task: Task) -> bool:
-        """Remove a task; return whether it was waiting."""
-        if task.task_id not in self._waiting:
+        """Remove a task; return whether the queue held it."""
+        if task.task_id not in self._task_ids:
             return False
-        self._waiting.remove(task.task_id)
+        self._task_ids.remove(task.task_id)
         return True
 
     def pop_due(self, now_s: float) -> Iterator[Task]:
-        """Remove and yield the tasks that are eligible."""
+        """Remove and yield the tasks that may be placed at `now_s`."""
         while self._heap and self._heap[0].eligible_at_s <= now_s:
             task = heapq.heappop(self._heap).task
-            if task.task_id in self._waiting:
-                self._waiting.remove(task.task_id)
+            if task.task_id in self._task_ids:
+                self._task_ids.remove(task.task_id)
                 yield task
--- a/src/fuchsiadale/decision/fairness.py
+++ b/src/fuchsiadale/decision/fairness.py
@@ -1,4 +1,4 @@
-"""Queue order among teams: weighted dominant-resource fairness."""
+"""Fair queueing of tasks among teams by weighted dominant-resource fairness."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.work import Task, WorkKind
 
+# Seconds of waiting time that ``OrderWeights.waiting`` is the weight of.
 WAITING_UNIT_S = 60.0
 
 
 @frozen
 class OrderWeights:
-    """How an operator weighs closeness to share against waiting time.
+    """Weights of usage and waiting time in the order of the teams.
 
     Attributes
     ----------
     share : float
-        Weight of a team's dominant usage divided by its share.
+        Weight of a team's dominant share of the capacity divided by its share.
     waiting : float
-        Weight of each minute that a team's oldest task has waited.
+        Weight of each minute that a team's oldest task has been queued.
     """
 
     share: float = 1.0
@@ -32,16 +33,17 @@
 
 @define
 class TeamUsage:
-    """What one team uses, here and in other partitions.
+    """Resource usage of one team in this partition and in the others.
 
     Attributes
     ----------
     share : float
-        The team's weight when the fleet is full.
+        Share of the team relative to the shares of other teams; it decides once
+        resources are scarce.
     local : Resources
-        Charged in this partition.
+        Resources allocated to the team in this partition.
     remote_share : float
-        Dominant share of the fleet used in other partitions.
+        Dominant share of the fleet that the team uses in other partitions.
     """
 
     share: float = 1.0
@@ -49,14 +51,24 @@
     remote_dominant_share: float = 0.0
 
     def weighted_dominant_share(self, total: Resources) -> float:
-        """Return the dominant usage of `total` per unit of share."""
+        """Return the dominant share of `total` in use, divided by the team's share."""
         usage = self.local.dominant_share(total) + self.remote_dominant_share
         return usage / self.share
 
 
 @frozen
 class TaskGroupKey:
-    """Tasks of one lane are interchangeable for a placement decision."""
+    """Identifies a group of a team's tasks that are equivalent for placement.
+
+    Attributes
+    ----------
+    kind : WorkKind
+        Kind of work of the tasks.
+    resources : Resources
+        Resources that each task requests.
+    gang_id : str
+        Work id if the tasks are a gang, else empty.
+    """
 
     kind: WorkKind
     resources: Resources
@@ -64,7 +76,7 @@
 
 
 def task_group_key_of(task: Task) -> TaskGroupKey:
-    """Return the lane that a task waits in."""
+    """Return the key of the group that a task belongs to."""
     submission = task.submission
     gang_id = submission.work_id if submission.kind is WorkKind.GANG else ""
     return TaskGroupKey(submission.kind, submission.resources, gang_id)
@@ -72,136 +84,140 @@
 
 @define
 class _TeamQueue:
-    lanes: dict[TaskGroupKey, deque[Task]] = field(factory=dict)
+    """Pending tasks of one team by group, with the version of its heap entry."""
+
+    group_by_key: dict[TaskGroupKey, deque[Task]] = field(factory=dict)
     version: int = 0
 
-    def oldest_s(self) -> float:
-        return min(lane[0].queued_at_s for lane in self.lanes.values())
+    def oldest_queued_at_s(self) -> float:
+        return min(group[0].queued_at_s for group in self.group_by_key.values())
 
 
 class FairQueue:
-    """Pending tasks, taken from the team that is furthest below its share.
+    """Pending tasks, ordered by how far their teams are below their shares.
 
-    A team's key is ``weights.share * usage / share + weights.waiting * t``, where
-    ``t`` is the time at which its oldest task was queued: subtracting the common
-    current time would not change the order. After Ghodsi et al., "Dominant Resource
-    Fairness", NSDI 2011.
+    The team with the lowest sort key comes first. The key of a team is
+    ``weights.share * usage / share + weights.waiting * t``, where ``usage`` is its
+    dominant share of the capacity and ``t`` the time in minutes at which its oldest
+    task was queued. Waiting time would subtract the current time, which is the same
+    for all teams and so does not change the order. After Ghodsi et al., "Dominant
+    Resource Fairness", NSDI 2011.
 
     Parameters
     ----------
     weights : OrderWeights
-        The operators' weights.
+        Weights that the operators configured.
     usage : dict of str to TeamUsage
-        Usage by team, shared with the scheduler that changes it.
+        Usage by team; the scheduler updates this same mapping.
     """
 
     def __init__(self, weights: OrderWeights, usage: dict[str, TeamUsage]) -> None:
         self.weights = weights
         self._usage = usage
         self._queue_by_team: dict[str, _TeamQueue] = {}
-        self._heap: list[tuple[float, int, str, int]] = []
+        self._team_heap: list[tuple[float, int, str, int]] = []
         self._total_capacity = NO_RESOURCES
-        self._sequence = 0
-        self._size = 0
+        self._last_version = 0
+        self._task_count = 0
 
     def __len__(self) -> int:
-        return self._size
+        return self._task_count
 
     def set_total_capacity(self, total: Resources) -> None:
-        """Take the capacity that usage is measured against."""
+        """Set the capacity that dominant shares are computed from."""
         if total != self._total_capacity:
             self._total_capacity = total
             self.reorder_all()
 
     def reorder_all(self) -> None:
-        """Compute every team's key anew, after weights or shares changed."""
-        self._heap.clear()
+        """Recompute the sort key of every team, after weights or the total changed."""
+        self._team_heap.clear()
         for team in self._queue_by_team:
             self.reorder_team(team)
 
     def push(self, task: Task) -> None:
-        """Add a task behind the others of its lane."""
+        """Append a task to its group."""
         team = task.submission.team
         queue = self._queue_by_team.setdefault(team, _TeamQueue())
         key = task_group_key_of(task)
-        group_tasks = queue.lanes.get(key)
-        self._size += 1
-        if group_tasks is not None:
-            group_tasks.append(task)
+        group = queue.group_by_key.get(key)
+        self._task_count += 1
+        if group is not None:
+            group.append(task)
             return
-        queue.lanes[key] = deque([task])
+        queue.group_by_key[key] = deque([task])
         self.reorder_team(team)
 
     def remove(self, task: Task) -> None:
-        """Take a task out of its lane."""
+        """Remove a task from its group."""
         team = task.submission.team
         queue = self._queue_by_team[team]
         key = task_group_key_of(task)
-        lane = queue.lanes[key]
-        if lane[0] is task:
-            lane.popleft()
+        group = queue.group_by_key[key]
+        if group[0] is task:
+            group.popleft()
         else:
-            lane.remove(task)
-        self._size -= 1
-        if not lane:
-            del queue.lanes[key]
-        if not queue.lanes:
+            group.remove(task)
+        self._task_count -= 1
+        if not group:
+            del queue.group_by_key[key]
+        if not queue.group_by_key:
             del self._queue_by_team[team]
 
     def reorder_team(self, team: str) -> None:
-        """Reorder a team after its usage or its oldest task changed."""
+        """Recompute the sort key of a team after its usage or oldest task changed."""
         queue = self._queue_by_team.get(team)
         if queue is None:
             return
         usage = self._usage.setdefault(team, TeamUsage())
         key = self.weights.share * usage.weighted_dominant_share(self._total_capacity)
-        key += self.weights.waiting * queue.oldest_s() / WAITING_UNIT_S
-        self._sequence += 1
-        queue.version = self._sequence
-        heapq.heappush(self._heap, (key, self._sequence, team, queue.version))
+        key += self.weights.waiting * queue.oldest_queued_at_s() / WAITING_UNIT_S
+        self._last_version += 1
+        queue.version = self._last_version
+        heapq.heappush(self._team_heap, (key, self._last_version, team, queue.version))
 
     def teams_in_order(self) -> Iterator[str]:
-        """Yield teams from the lowest key on.
+        """Yield teams in ascending order of their sort keys.
 
-        A team that is touched while the caller handles it is yielded again at its
-        new place; one that is not stays out until the iteration ends.
+        A team that the caller reorders during the iteration is yielded again at its
+        new position. Any other team is yielded once.
         """
-        skipped: list[tuple[float, int, str, int]] = []
+        yielded: list[tuple[float, int, str, int]] = []
         try:
-            while self._heap:
-                entry = heapq.heappop(self._heap)
-                if not self._is_current(entry):
+            while self._team_heap:
+                entry = heapq.heappop(self._team_heap)
+                if not self._is_current_entry(entry):
                     continue
-                skipped.append(entry)
+                yielded.append(entry)
                 yield entry[2]
         finally:
-            for entry in skipped:
-                if self._is_current(entry):
-                    heapq.heappush(self._heap, entry)
+            for entry in yielded:
+                if self._is_current_entry(entry):
+                    heapq.heappush(self._team_heap, entry)
 
     def group_heads(self, team: str) -> list[tuple[TaskGroupKey, Task]]:
-        """Return the head of each of a team's lanes, oldest first."""
+        """Return the oldest task of each of a team's groups, oldest first."""
         queue = self._queue_by_team.get(team)
         if queue is None:
             return []
-        heads = [(key, lane[0]) for key, lane in queue.lanes.items()]
+        heads = [(key, group[0]) for key, group in queue.group_by_key.items()]
         if len(heads) > 1:
             heads.sort(key=lambda head: head[1].queued_at_s)
         return heads
 
     def pending_tasks(self) -> Iterator[Task]:
-        """Yield every waiting task."""
+        """Yield every pending task."""
         for queue in self._queue_by_team.values():
-            for lane in queue.lanes.values():
-                yield from lane
+            for group in queue.group_by_key.values():
+                yield from group
 
-    def lane(self, team: str, key: TaskGroupKey) -> list[Task]:
-        """Return the tasks that wait in one lane, oldest first."""
+    def group_tasks(self, team: str, key: TaskGroupKey) -> list[Task]:
+        """Return the pending tasks of one group, oldest first."""
         queue = self._queue_by_team.get(team)
-        if queue is None or key not in queue.lanes:
+        if queue is None or key not in queue.group_by_key:
             return []
-        return list(queue.lanes[key])
+        return list(queue.group_by_key[key])
 
-    def _is_current(self, entry: tuple[float, int, str, int]) -> bool:
+    def _is_current_entry(self, entry: tuple[float, int, str, int]) -> bool:
         queue = self._queue_by_team.get(entry[2])
         return queue is not None and queue.version == entry[3]
--- a/src/fuchsiadale/decision/free_index.py
+++ b/src/fuchsiadale/decision/free_index.py
@@ -1,4 +1,4 @@
-"""An index of workers by the size of their free room."""
+"""Index of workers by the size of their available resources."""
 
 from __future__ import annotations
 
@@ -13,14 +13,24 @@
 
 @frozen(order=True)
 class SizeClass:
-    """A range of free room: each amount is the bit length of the real one."""
+    """Class of resource vectors of similar size.
+
+    Each attribute is the bit length of an amount, so that a class spans the amounts
+    between two powers of two.
+
+    Attributes
+    ----------
+    accelerators, cpu, memory : int
+        Bit lengths of the accelerators, the thousandths of a core and the MiB of
+        memory.
+    """
 
     accelerators: int
     cpu: int
     memory: int
 
-    def may_hold(self, other: SizeClass) -> bool:
-        """Tell whether room of this class can hold a need of class `other`."""
+    def may_fit(self, other: SizeClass) -> bool:
+        """Tell whether a vector of class `other` may fit into one of this class."""
         return (
             self.accelerators >= other.accelerators
             and self.cpu >= other.cpu
@@ -39,11 +49,11 @@
 
 @define
 class _Bucket:
-    """Names with constant-time insertion, removal and rotation."""
+    """Names of workers, with insertion, removal and rotation in constant time."""
 
     names: list[str] = field(factory=list)
     positions: dict[str, int] = field(factory=dict)
-    cursor: int = 0
+    next_start: int = 0
 
     def add(self, name: str) -> None:
         self.positions[name] = len(self.names)
@@ -56,62 +66,62 @@
             self.names[position] = last
             self.positions[last] = position
 
-    def sample(self, count: int) -> Iterator[str]:
+    def next_sample(self, count: int) -> Iterator[str]:
         size = len(self.names)
         if size <= count:
             yield from list(self.names)
             return
-        start = self.cursor % size
-        self.cursor = start + count
+        start = self.next_start % size
+        self.next_start = start + count
         for offset in range(count):
             yield self.names[(start + offset) % size]
 
 
 class AvailabilityIndex:
-    """Finds workers whose free room may hold a need, smallest room first.
+    """Finds workers whose available resources may fit a task, smallest first.
 
     A lookup visits at most `CANDIDATES_PER_CLASS` workers of each size class, so its
     cost depends on the number of classes in use and not on the number of workers.
     """
 
     def __init__(self) -> None:
-        self._buckets: dict[SizeClass, _Bucket] = {}
-        self._class_of: dict[str, SizeClass] = {}
-        self._ordered: list[SizeClass] = []
-
-    def put(self, name: str, free: Resources) -> None:
-        """Add a worker or move it to the class of its free room."""
-        new = size_class_of(free)
-        old = self._class_of.get(name)
-        if old == new:
+        self._bucket_by_class: dict[SizeClass, _Bucket] = {}
+        self._class_by_name: dict[str, SizeClass] = {}
+        self._sorted_classes: list[SizeClass] = []
+
+    def put(self, name: str, available: Resources) -> None:
+        """Add a worker, or move it to the size class of its available resources."""
+        new_class = size_class_of(available)
+        old_class = self._class_by_name.get(name)
+        if old_class == new_class:
             return
-        if old is not None:
+        if old_class is not None:
             self.discard(name)
-        bucket = self._buckets.get(new)
+        bucket = self._bucket_by_class.get(new_class)
         if bucket is None:
             bucket = _Bucket()
-            self._buckets[new] = bucket
-            self._ordered = sorted(self._buckets)
+            self._bucket_by_class[new_class] = bucket
+            self._sorted_classes = sorted(self._bucket_by_class)
         bucket.add(name)
-        self._class_of[name] = new
+        self._class_by_name[name] = new_class
 
     def discard(self, name: str) -> None:
-        """Remove a worker if it is present."""
-        old = self._class_of.pop(name, None)
-        if old is None:
+        """Remove a worker, if the index holds it."""
+        old_class = self._class_by_name.pop(name, None)
+        if old_class is None:
             return
-        bucket = self._buckets[old]
+        bucket = self._bucket_by_class[old_class]
         bucket.remove(name)
         if not bucket.names:
-            del self._buckets[old]
-            self._ordered = sorted(self._buckets)
-
-    def candidate_batches(self, need: Resources) -> Iterator[list[str]]:
-        """Yield samples of workers, one size class at a time, smallest first."""
-        wanted = size_class_of(need)
-        for size_class in list(self._ordered):
-            if not size_class.may_hold(wanted):
+            del self._bucket_by_class[old_class]
+            self._sorted_classes = sorted(self._bucket_by_class)
+
+    def candidate_batches(self, demand: Resources) -> Iterator[list[str]]:
+        """Yield a sample of workers from each size class that may fit, in order."""
+        demand_class = size_class_of(demand)
+        for size_class in list(self._sorted_classes):
+            if not size_class.may_fit(demand_class):
                 continue
-            bucket = self._buckets.get(size_class)
+            bucket = self._bucket_by_class.get(size_class)
             if bucket is not None:
-                yield list(bucket.sample(CANDIDATES_PER_SIZE_CLASS))
+                yield list(bucket.next_sample(CANDIDATES_PER_SIZE_CLASS))
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a partition's workers: what each has and what runs there."""
+"""Ledger of the capacity and the allocations of each worker of a partition."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 @frozen
 class WorkerInfo:
-    """What the platform's host list says of a worker.
+    """Description of a worker from the host list of the platform.
 
     Attributes
     ----------
     name : str
-        Unique name.
+        Unique name of the worker.
     pool : str
-        The pool it belongs to.
+        Name of the pool that it belongs to.
     address : str
         Base URL of its backend server.
     failure_domain : str
-        The failure domain it stands in.
+        Failure domain that it belongs to.
     rack : str
-        The rack it stands in.
+        Rack that it is installed in.
     capacity : Resources
-        What it has room for.
+        Resources that it can allocate to tasks.
     leaving : bool
-        Whether it is about to leave.
+        Whether it is about to leave the pool.
     fencing : bool
-        Whether its backend server compares epochs.
+        Whether its backend server rejects orders of an older epoch.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
 
 class WorkerState(Enum):
-    """Whether a worker may get new tasks."""
+    """The state of a worker, which decides whether new tasks may be placed on it."""
 
     ADOPTING = "adopting"
     READY = "ready"
@@ -74,12 +74,24 @@
 
 
 class Worker:
-    """One worker's room and the attempts that are charged to it.
+    """A worker with its available resources and the attempts allocated on it.
 
     Parameters
     ----------
     info : WorkerInfo
-        What the host list says of it.
+        Description of the worker from the host list.
+
+    Attributes
+    ----------
+    unallocated : Resources
+        Capacity that is not allocated to attempts; negative amounts if the capacity
+        was lowered below the allocations.
+    attempts : dict of str to Attempt
+        Attempts that resources are allocated to, by attempt id, oldest first.
+    boot_id : str
+        Boot identifier of the worker; empty if unknown.
+    overuse : Resources
+        Measured usage of its tasks beyond the allocated resources.
     """
 
     trigger: Callable[[str], bool]
@@ -94,31 +106,32 @@
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether new tasks may be placed here."""
+        """Whether new tasks may be placed on the worker."""
         return self.state is WorkerState.READY
 
     @property
     def available(self) -> Resources:
-        """What is free and not taken by tasks that exceed what they declared."""
+        """Resources that are neither allocated nor overused by running tasks."""
         return self.unallocated - self.overuse
 
     @property
     def allocated(self) -> Resources:
-        """The room that is charged."""
+        """Resources that are allocated to attempts."""
         return self.info.capacity - self.unallocated
 
 
 class Ledger:
-    """All workers of one partition.
+    """All workers of one partition, with the resources allocated on each.
 
-    Room is charged when an attempt is planned and given back only when the attempt
-    surely ended, so the sum of what may run never exceeds a worker's capacity.
+    Resources are allocated when an attempt is planned and released only once the
+    attempt has surely ended. So the attempts that may run on a worker never exceed
+    its capacity together.
     """
 
     def __init__(self) -> None:
-        self._workers: dict[str, Worker] = {}
-        self._index = AvailabilityIndex()
-        self._domain_indexes: dict[str, AvailabilityIndex] = {}
+        self._worker_by_name: dict[str, Worker] = {}
+        self._availability_index = AvailabilityIndex()
+        self._index_by_domain: dict[str, AvailabilityIndex] = {}
         self._capacity = NO_RESOURCES
         self._machine = Machine(
             model=None,
@@ -131,33 +144,33 @@
 
     @property
     def workers(self) -> dict[str, Worker]:
-        """The workers by name."""
-        return self._workers
+        """All workers by name."""
+        return self._worker_by_name
 
     @property
     def capacity(self) -> Resources:
-        """The capacity of all workers that have not gone."""
+        """Total capacity of all workers except those in state ``GONE``."""
         return self._capacity
 
     @property
     def failure_domains(self) -> list[str]:
-        """The failure domains that have an open worker, in order of name."""
-        return sorted(self._domain_indexes)
+        """Sorted names of the failure domains that have had a schedulable worker."""
+        return sorted(self._index_by_domain)
 
     def add_or_update(self, info: WorkerInfo) -> Worker:
-        """Add a worker, or take over what the host list now says of it."""
-        worker = self._workers.get(info.name)
-        is_gone = worker is not None and worker.state is WorkerState.GONE
-        if worker is not None and worker.info == info and not is_gone:
+        """Add a worker, or update it to its new description in the host list."""
+        worker = self._worker_by_name.get(info.name)
+        was_gone = worker is not None and worker.state is WorkerState.GONE
+        if worker is not None and worker.info == info and not was_gone:
             return worker
         if worker is None:
             worker = Worker(info)
             self._machine.add_model(worker)
-            self._workers[info.name] = worker
+            self._worker_by_name[info.name] = worker
         else:
-            used = worker.allocated
+            allocated = worker.allocated
             worker.info = info
-            worker.unallocated = info.capacity - used
+            worker.unallocated = info.capacity - allocated
             if worker.state is WorkerState.GONE and not info.leaving:
                 self.change_state(info.name, "return_")
         if info.leaving:
@@ -167,8 +180,16 @@
         return worker
 
     def change_state(self, name: str, event: str) -> bool:
-        """Apply a state change to a worker; return whether its state changed."""
-        worker = self._workers[name]
+        """Trigger a transition of a worker; return whether its state changed.
+
+        Parameters
+        ----------
+        name : str
+            Name of the worker.
+        event : str
+            Name of the trigger; one that the present state lacks has no effect.
+        """
+        worker = self._worker_by_name[name]
         before = worker.state
         worker.trigger(event)
         self._reindex(worker)
@@ -177,15 +198,15 @@
         return worker.state is not before
 
     def remove(self, name: str) -> None:
-        """Forget a worker to which nothing is charged."""
-        worker = self._workers.pop(name)
+        """Remove a worker on which nothing is allocated."""
+        worker = self._worker_by_name.pop(name)
         self._machine.remove_model(worker)
         self._unindex(worker)
         self._capacity = self._sum_capacity()
 
     def allocate(self, attempt: Attempt) -> None:
-        """Charge an attempt to its worker; charging one twice has no effect."""
-        worker = self._workers[attempt.worker]
+        """Allocate an attempt's resources on its worker, unless already allocated."""
+        worker = self._worker_by_name[attempt.worker]
         if attempt.attempt_id in worker.attempts:
             return
         worker.attempts[attempt.attempt_id] = attempt
@@ -193,14 +214,14 @@
         self._reindex(worker)
 
     def release(self, attempt: Attempt) -> bool:
-        """Give back the room of an attempt that surely ended.
+        """Release the resources of an attempt that has surely ended.
 
         Returns
         -------
         bool
-            False if the attempt was not charged.
+            False if no resources were allocated to the attempt.
         """
-        worker = self._workers.get(attempt.worker)
+        worker = self._worker_by_name.get(attempt.worker)
         if worker is None or worker.attempts.pop(attempt.attempt_id, None) is None:
             return False
         worker.unallocated = worker.unallocated + attempt.resources
@@ -208,75 +229,77 @@
         return True
 
     def set_measured_usage(self, name: str, usage: Resources) -> None:
-        """Take what a worker's tasks really take of processors and memory.
+        """Update the measured usage of processors and memory by a worker's tasks.
 
         Parameters
         ----------
         name : str
-            The worker.
+            Name of the worker.
         usage : Resources
-            What was measured; amounts below what is charged change nothing.
+            Measured usage; an amount below the allocated one has no effect.
         """
-        worker = self._workers[name]
+        worker = self._worker_by_name[name]
         overuse = (usage - worker.allocated).maximum(NO_RESOURCES)
         if overuse != worker.overuse:
             worker.overuse = overuse
             self._reindex(worker)
 
     def candidate_batches(
-        self, need: Resources, failure_domain: str | None = None
+        self, demand: Resources, failure_domain: str | None = None
     ) -> Iterator[list[Worker]]:
-        """Yield samples of open workers that have room, smallest room first.
+        """Yield samples of schedulable workers with enough available resources.
+
+        The samples come in ascending order of the available resources.
 
         Parameters
         ----------
-        need : Resources
-            What has to fit.
+        demand : Resources
+            Resources that must be available.
         failure_domain : str, optional
-            Only workers of this failure domain.
+            Restricts the search to the workers of this failure domain.
         """
-        index: AvailabilityIndex | None = self._index
+        index: AvailabilityIndex | None = self._availability_index
         if failure_domain is not None:
-            index = self._domain_indexes.get(failure_domain)
+            index = self._index_by_domain.get(failure_domain)
         if index is None:
             return
-        for names in index.candidate_batches(need):
+        for names in index.candidate_batches(demand):
             fitting = [
                 worker
-                for worker in map(self._workers.__getitem__, names)
-                if need.fits_in(worker.available)
+                for worker in map(self._worker_by_name.__getitem__, names)
+                if demand.fits_in(worker.available)
             ]
             if fitting:
                 yield fitting
 
-    def fits_any_empty_worker(self, need: Resources) -> bool:
-        """Tell whether an empty worker of this partition could hold `need`."""
+    def fits_any_empty_worker(self, demand: Resources) -> bool:
+        """Tell whether `demand` fits the capacity of a worker that is not ``GONE``."""
         return any(
-            need.fits_in(worker.info.capacity)
-            for worker in self._workers.values()
+            demand.fits_in(worker.info.capacity)
+            for worker in self._worker_by_name.values()
             if worker.state is not WorkerState.GONE
         )
 
     def _sum_capacity(self) -> Resources:
         total = NO_RESOURCES
-        for worker in self._workers.values():
+        for worker in self._worker_by_name.values():
             if worker.state is not WorkerState.GONE:
                 total = total + worker.info.capacity
         return total
 
     def _reindex(self, worker: Worker) -> None:
-        room = worker.available.maximum(NO_RESOURCES)
-        if not worker.is_schedulable or room.slots <= 0:
+        available = worker.available.maximum(NO_RESOURCES)
+        if not worker.is_schedulable or available.slots <= 0:
             self._unindex(worker)
             return
-        self._index.put(worker.info.name, room)
+        self._availability_index.put(worker.info.name, available)
         domain = worker.info.failure_domain
-        if domain not in self._domain_indexes:
-            self._domain_indexes[domain] = AvailabilityIndex()
-        self._domain_indexes[domain].put(worker.info.name, room)
+        if domain not in self._index_by_domain:
+            self._index_by_domain[domain] = AvailabilityIndex()
+        self._index_by_domain[domain].put(worker.info.name, available)
 
     def _unindex(self, worker: Worker) -> None:
-        self._index.discard(worker.info.name)
-        domain_index = self._domain_indexes.get(worker.info.failure_domain)
+        self._availability_index.discard(worker.info.name)
+        domain_index = self._index_by_domain.get(worker.info.failure_domain)
         if domain_index is not None:
             domain_index.discard(worker.info.name)
--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -1,4 +1,4 @@
-"""A partition: the queue, the workers and the work that one owner decides on."""
+"""Decisions on the work, the queue and the workers of one partition."""
 
 from __future__ import annotations
 
@@ -20,6 +20,7 @@
 )
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import Ledger
+from fuchsiadale.decision.pending_tasks import PendingTasks
 from fuchsiadale.decision.quarantine import Quarantine
 from fuchsiadale.decision.retry import (
     RETRY_TABLE,
@@ -28,7 +29,6 @@
     backoff_s,
 )
 from fuchsiadale.decision.scheduler import Scheduler
-from fuchsiadale.decision.pending_tasks import PendingTasks
 from fuchsiadale.decision.work import (
     Attempt,
     AttemptEnd,
@@ -43,23 +43,23 @@
 
 
 class Partition:
-    """Decides for one partition in one epoch.
+    """Makes the scheduling decisions for one partition in one epoch.
 
-    Every method changes state only; what has to be sent or recorded is collected and
-    handed over by `step`.
+    The methods only change state in memory. The orders to send and the events to
+    write to the journal are collected, and `step` returns them.
 
     Parameters
     ----------
     name : str
         Name of the partition.
     epoch : int
-        The owner's epoch.
+        Epoch of the partition's owner.
     clock : Clock
-        The clock.
+        Clock that all times of the partition are read from.
     authority : Authority
         Tells whether the owner may act.
     weights : OrderWeights, optional
-        How teams are ordered.
+        Weights of usage and waiting time in the order of the teams.
     """
 
     def __init__(
@@ -79,23 +79,23 @@
         self.scheduler = Scheduler(self.ledger, clock, epoch, weights or OrderWeights())
         self._quarantine = Quarantine(self.ledger, self.blame, clock)
         self._clock = clock
-        self._pending = PendingTasks(self.scheduler, authority, clock)
-        self._budgets = RetryBudgets()
+        self._pending_tasks = PendingTasks(self.scheduler, authority, clock)
+        self._retry_budgets = RetryBudgets()
         self._actions = Actions()
         self._is_paused = False
 
     def pause(self) -> None:
-        """Place nothing more, so that the partition can be handed over."""
+        """Stop placing tasks for good, so that the partition can be handed over."""
         self._is_paused = True
 
     def accept(self, submission: Submission) -> Result[Work, Refusal]:
-        """Accept a submission, or return the work that it repeats."""
-        found = self.work_registry.find_duplicate(submission)
-        if isinstance(found, Err):
-            return found
-        if found.ok_value is not None:
-            self._wake(found.ok_value)
-            return Ok(found.ok_value)
+        """Accept a submission; return its work, or the earlier work that it repeats."""
+        duplicate = self.work_registry.find_duplicate(submission)
+        if isinstance(duplicate, Err):
+            return duplicate
+        if duplicate.ok_value is not None:
+            self._activate_resubmitted(duplicate.ok_value)
+            return Ok(duplicate.ok_value)
         refusal = check_admission(submission, self.ledger, self.scheduler.pending_count)
         if refusal is not None:
             self._actions.counts[f"refused.{refusal.kind.value}"] += 1
@@ -103,13 +103,13 @@
         work = self.work_registry.add(submission, self._clock.now())
         if submission.is_journalled:
             self._actions.events.append(Accepted(submission))
-        self._budgets.deposit(submission.queue, submission.tasks)
+        self._retry_budgets.deposit(submission.queue, submission.tasks)
         for task in work.tasks:
             self.enqueue(task, may_be_running=submission.resubmitted)
         return Ok(work)
 
     def roll_back_acceptance(self, work: Work) -> None:
-        """Take back an acceptance that could not be recorded."""
+        """Remove accepted work whose acceptance could not be written to the journal."""
         for task in work.tasks:
             self.dequeue(task)
             if task.attempt is not None:
@@ -117,14 +117,14 @@
         self.work_registry.discard(work)
 
     def cancel(self, work: Work, refusal: Refusal) -> None:
-        """End work: what was not sent never runs, what runs is stopped.
+        """Cancel work: unsent tasks never run, and sent ones are stopped.
 
         Parameters
         ----------
         work : Work
-            The work to end.
+            The work to cancel.
         refusal : Refusal
-            What is told of its tasks that did not run.
+            Error that is reported for the work, unless a task may have run.
         """
         if work.is_final or work.cancelled:
             return
@@ -135,42 +135,48 @@
         self.resume_cancellation(work)
 
     def resume_cancellation(self, work: Work) -> None:
-        """End what is left of cancelled work."""
+        """Cancel the unfinished tasks of cancelled work."""
         for task in work.tasks:
             self._cancel_task(task)
 
     def enqueue(self, task: Task, may_be_running: bool = False) -> None:
-        """Queue a pending task.
+        """Make a task pending and queue it, unless it awaits its resubmission.
 
         Parameters
         ----------
         task : Task
             The task.
-        held : bool, default=False
-            Whether an earlier owner may have started it, so that it has to wait
-            until nothing can run unseen.
+        may_be_running : bool, default=False
+            Whether a former owner may have started it, so that it has to wait until
+            the authority allows such tasks to be run again.
         """
         task.state = TaskState.PENDING
         task.attempt = None
         task.stop_requested = False
         task.start_valid_until_s = None
         if not task.work.awaits_resubmission:
-            self._pending.add(task, may_be_running)
+            self._pending_tasks.add(task, may_be_running)
 
     def dequeue(self, task: Task) -> None:
-        """Take a pending task out of whatever it waits in."""
+        """Remove a task from the queue if it is pending."""
         if task.state is TaskState.PENDING and not task.work.awaits_resubmission:
-            self._pending.remove(task)
+            self._pending_tasks.remove(task)
 
     def mark_sent(self, attempt: Attempt, valid_until_s: float) -> bool:
-        """Note that a start is about to be sent; return False if it must not be.
+        """Record that a start order is about to be sent.
 
         Parameters
         ----------
         attempt : Attempt
-            The attempt.
+            The attempt to start.
         valid_until_s : float
-            Reading of the worker's clock after which the start has no effect.
+            Reading of the worker's clock after which the start order has no effect.
+
+        Returns
+        -------
+        bool
+            False if the order must not be sent, since the attempt is not placed any
+            more or the owner may not act.
         """
         task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
         if task is None or task.state is not TaskState.PLACED:
@@ -182,7 +188,7 @@
         return True
 
     def mark_started(self, attempt_id: str) -> None:
-        """Note that a worker runs an attempt."""
+        """Record that a worker confirmed to run an attempt."""
         task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.state not in (TaskState.PLACED, TaskState.STARTING):
             return
@@ -196,18 +202,18 @@
     def mark_ended(
         self, attempt_id: str, end: AttemptEnd, answer: bytes = b"", reason: str = ""
     ) -> None:
-        """Note that an attempt surely runs no more.
+        """Record that an attempt surely runs no more, and finish or retry its task.
 
         Parameters
         ----------
         attempt_id : str
             The attempt.
         end : AttemptEnd
-            How it ended.
+            Outcome of the attempt.
         answer : bytes
-            What it returned.
+            Output of the attempt, or the error message if it failed.
         reason : str
-            Why it was refused or lost, for the counters.
+            Reason of a refusal or loss, which names the retry in the metrics.
         """
         task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.attempt is None:
@@ -216,26 +222,36 @@
         self.scheduler.release(attempt)
         if end is not AttemptEnd.NOT_RUN:
             task.may_have_run = True
-        closed = self._quarantine.note_end(task.submission.work_id, attempt, end)
-        if closed:
-            self._actions.counts["worker.quarantined"] += closed
-        step = RETRY_TABLE[(end, task.submission.idempotent)]
+        quarantined_count = self._quarantine.note_end(
+            task.submission.work_id, attempt, end
+        )
+        if quarantined_count:
+            self._actions.counts["worker.quarantined"] += quarantined_count
+        next_step = RETRY_TABLE[(end, task.submission.idempotent)]
         if task.work.cancelled and end is not AttemptEnd.SUCCEEDED:
-            self._finish_cancelled(task, end)
-        elif step is NextStep.FINISH:
+            self._finish_cancelled_task(task, end)
+        elif next_step is NextStep.FINISH:
             task.answer = TaskAnswer(attempt_id, attempt.worker, answer)
-            self._finish(task, TaskState.SUCCEEDED, end)
-        elif step is NextStep.TELL_UNKNOWN:
-            message = "the task was started and its outcome cannot be learnt"
+            self._finish_task(task, TaskState.SUCCEEDED, end)
+        elif next_step is NextStep.TELL_UNKNOWN:
+            message = "the task was started, but its outcome cannot be determined"
             task.work.refusal = Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
-            self._finish(task, TaskState.UNKNOWN, end)
-        elif step is NextStep.FAIL:
-            self._fail(task, answer, end)
+            self._finish_task(task, TaskState.UNKNOWN, end)
+        elif next_step is NextStep.FAIL:
+            self._fail_task(task, answer, end)
         else:
-            self._retry(task, answer, end, reason)
+            self._retry_or_fail_task(task, answer, end, reason)
 
     def stop_task(self, task: Task, checkpoint: bool) -> None:
-        """Order a running attempt to end, once."""
+        """Order the worker to stop the current attempt, unless it was ordered before.
+
+        Parameters
+        ----------
+        task : Task
+            The task that the attempt belongs to.
+        checkpoint : bool
+            Whether the program is asked to write a checkpoint first, if it can.
+        """
         if task.attempt is None or task.stop_requested:
             return
         task.stop_requested = True
@@ -245,15 +261,15 @@
         )
 
     def stop_unknown_attempt(self, order: StopOrder) -> None:
-        """Order the end of an attempt that the book does not hold."""
+        """Order a worker to stop an attempt that is not in the work registry."""
         self._actions.stops.append(order)
 
     def acknowledge(self, worker: str, attempt_id: str) -> None:
-        """Let a worker forget an ended attempt."""
+        """Acknowledge an end to a worker, which may then discard the answer."""
         self._actions.acknowledgements.append(Acknowledgement(worker, attempt_id))
 
     def mark_delivered(self, work: Work) -> None:
-        """Note that the caller's entry has the answer of a request."""
+        """Record that the client's entry has the answer of a request."""
         work.is_delivered = True
         for task in work.tasks:
             if task.is_end_record_deferred:
@@ -266,8 +282,8 @@
                 self.acknowledge(task.attempt.worker, task.attempt.attempt_id)
 
     def step(self) -> Actions:
-        """Place what can be placed and return all that has to be carried out."""
-        self._pending.release_ready()
+        """Place the tasks that fit, and return the actions since the last call."""
+        self._pending_tasks.release_ready()
         self._quarantine.probe()
         if self.authority.may_act() and not self._is_paused:
             for placement in self.scheduler.schedule():
@@ -276,13 +292,13 @@
                 if task.submission.is_journalled:
                     self._actions.events.append(planned_event(attempt))
                 self._actions.starts.append(attempt)
-            self._preempt()
+            self._preempt_for_urgent()
         actions = self._actions
         self._actions = Actions()
         return actions
 
     def evacuate_worker(self, name: str) -> None:
-        """Stop the jobs' tasks on a leaving worker, so that they run elsewhere."""
+        """Stop the idempotent job tasks on a leaving worker, to run them elsewhere."""
         for attempt in self.ledger.workers[name].attempts.values():
             task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
             if task is None or task.submission.kind is WorkKind.REQUEST:
@@ -292,15 +308,15 @@
                 self.stop_task(task, checkpoint=True)
 
     def enforce_grant(self, team: str) -> None:
-        """Stop the team's youngest attempts until it is within its grant."""
+        """Stop the youngest attempts of a team so that it is within its grant."""
         for attempt in self.scheduler.attempts_above_grant(team):
             task = self.work_registry.find_task_by_current_attempt(attempt.attempt_id)
             if task is not None:
                 self._actions.counts["preempted.limit"] += 1
                 self.stop_task(task, checkpoint=True)
 
-    def _wake(self, work: Work) -> None:
-        """Let a recovered request start, now that its caller is known to wait."""
+    def _activate_resubmitted(self, work: Work) -> None:
+        """Queue a recovered request, as its resubmission shows that a client waits."""
         if not work.awaits_resubmission:
             return
         work.awaits_resubmission = False
@@ -315,62 +331,64 @@
             self.dequeue(task)
             if task.attempt is not None:
                 self.scheduler.release(task.attempt)
-            self._finish_cancelled(task, AttemptEnd.NOT_RUN)
+            self._finish_cancelled_task(task, AttemptEnd.NOT_RUN)
             task.attempt = None
         else:
             self.stop_task(task, checkpoint=False)
 
-    def _finish_cancelled(self, task: Task, end: AttemptEnd) -> None:
+    def _finish_cancelled_task(self, task: Task, end: AttemptEnd) -> None:
         if end is AttemptEnd.NOT_RUN and not task.may_have_run:
-            self._finish(task, TaskState.CANCELLED, end)
+            self._finish_task(task, TaskState.CANCELLED, end)
             return
         kind = ErrorKind.CANCELLED
         if task.submission.kind is WorkKind.REQUEST:
             kind = ErrorKind.OUTCOME_UNKNOWN
         message = "what had started was stopped, the rest did not run"
         task.work.refusal = Refusal(kind, message)
-        self._finish(task, TaskState.CANCELLED, end)
+        self._finish_task(task, TaskState.CANCELLED, end)
 
-    def _fail(self, task: Task, answer: bytes, end: AttemptEnd) -> None:
+    def _fail_task(self, task: Task, answer: bytes, end: AttemptEnd) -> None:
         kind = ErrorKind.TASK_FAILED
         if self.blame.is_poison(task.submission.work_id):
             kind = ErrorKind.POISON
         message = answer.decode("utf-8", "replace") or "the task failed"
         task.work.refusal = Refusal(kind, message)
         self._actions.counts[f"failed.{kind.value}"] += 1
-        self._finish(task, TaskState.FAILED, end)
+        self._finish_task(task, TaskState.FAILED, end)
 
-    def _retry(self, task: Task, answer: bytes, end: AttemptEnd, reason: str) -> None:
+    def _retry_or_fail_task(
+        self, task: Task, answer: bytes, end: AttemptEnd, reason: str
+    ) -> None:
         if end is AttemptEnd.FAILED:
             task.failures += 1
             task.failed_worker_names.add(task.attempt.worker if task.attempt else "")
             is_poison = self.blame.is_poison(task.submission.work_id)
             if is_poison or task.failures >= RETRY_BUDGET_PER_TASK:
-                self._fail(task, answer, end)
+                self._fail_task(task, answer, end)
                 return
         self._actions.counts[f"retried.{reason or end.value}"] += 1
         self._record_end(task, TaskState.PENDING, end)
         task.eligible_at_s = self._clock.now() + self._retry_delay_s(task, end)
-        gang = task.submission.kind is WorkKind.GANG
+        is_gang = task.submission.kind is WorkKind.GANG
         self.enqueue(task)
-        if gang:
-            self._regroup(task.work)
+        if is_gang:
+            self._stop_siblings(task.work)
 
     def _retry_delay_s(self, task: Task, end: AttemptEnd) -> float:
         if end is AttemptEnd.STOPPED:
             return 0.0
-        if not self._budgets.withdraw(task.submission.queue):
+        if not self._retry_budgets.withdraw(task.submission.queue):
             self._actions.counts["retried.over_budget"] += 1
             return RETRY_BACKOFF_MAX_S
         return backoff_s(task.attempts_made)
 
-    def _regroup(self, work: Work) -> None:
-        """Stop the rest of a gang that lost a task, so that all start anew."""
+    def _stop_siblings(self, work: Work) -> None:
+        """Stop the other tasks of a gang that lost one, to restart all of them."""
         for sibling in work.tasks:
             if sibling.state in (TaskState.STARTING, TaskState.RUNNING):
                 self.stop_task(sibling, checkpoint=True)
 
-    def _finish(self, task: Task, state: TaskState, end: AttemptEnd) -> None:
+    def _finish_task(self, task: Task, state: TaskState, end: AttemptEnd) -> None:
         self._record_end(task, state, end)
         self.work_registry.finish_task(task, state, self._clock.now())
         if task.work.is_final:
@@ -386,7 +404,7 @@
             return
         self._actions.events.append(ended_event(task, state, end))
 
-    def _preempt(self) -> None:
+    def _preempt_for_urgent(self) -> None:
         for plan in self.scheduler.plan_preemptions():
             self._actions.counts["preempted.urgent"] += len(plan.victims)
             for victim in plan.victims:
--- a/src/fuchsiadale/decision/pending_tasks.py
+++ b/src/fuchsiadale/decision/pending_tasks.py
@@ -1,4 +1,4 @@
-"""Where pending tasks wait: for a time, for a takeover to settle, or for room."""
+"""Pending tasks, from their submission or retry until the scheduler takes them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
 
 class PendingTasks:
-    """Hands pending tasks to the scheduler as soon as they may be placed.
+    """Hands each pending task to the scheduler as soon as it may be placed.
+
+    A task waits until a retry delay has passed, or until no attempt of a former owner
+    can still be running it.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Places tasks that wait for room alone.
+        Scheduler that places the tasks.
     authority : Authority
-        Tells whether what a former owner may have started can run again.
+        Tells whether tasks that a former owner may have started can be run again.
     clock : Clock
-        The clock.
+        Clock that retry delays are measured on.
     """
 
     def __init__(
@@ -29,38 +32,38 @@
         self._authority = authority
         self._clock = clock
         self._delayed = DelayedTasks()
-        self._held: list[Task] = []
+        self._possibly_running: list[Task] = []
 
-    def add(self, task: Task, is_held: bool) -> None:
-        """Add a task.
+    def add(self, task: Task, may_be_running: bool) -> None:
+        """Add a pending task.
 
         Parameters
         ----------
         task : Task
             The task.
-        is_held : bool
-            Whether an earlier owner may have started it, so that it has to wait
-            until nothing can run unseen.
+        may_be_running : bool
+            Whether a former owner may have started it, so that it has to wait until
+            the authority allows such tasks to be run again.
         """
-        if is_held and not self._authority.may_rerun():
-            self._held.append(task)
+        if may_be_running and not self._authority.may_rerun():
+            self._possibly_running.append(task)
         elif task.eligible_at_s > self._clock.now():
             self._delayed.push(task)
         else:
             self._scheduler.add(task)
 
     def remove(self, task: Task) -> None:
-        """Take a task out of whatever it waits in."""
-        if task in self._held:
-            self._held.remove(task)
+        """Remove a pending task, also if the scheduler already has it."""
+        if task in self._possibly_running:
+            self._possibly_running.remove(task)
         elif not self._delayed.discard(task):
             self._scheduler.remove(task)
 
     def release_ready(self) -> None:
-        """Hand over the tasks that need to wait for nothing but room."""
-        if self._held and self._authority.may_rerun():
-            for task in self._held:
+        """Hand the tasks that may be placed now to the scheduler."""
+        if self._possibly_running and self._authority.may_rerun():
+            for task in self._possibly_running:
                 self._scheduler.add(task)
-            self._held.clear()
+            self._possibly_running.clear()
         for task in self._delayed.pop_due(self._clock.now()):
             self._scheduler.add(task)
--- a/src/fuchsiadale/decision/placement.py
+++ b/src/fuchsiadale/decision/placement.py
@@ -1,4 +1,4 @@
-"""Placement policies: which worker a task of each kind of work goes to."""
+"""Placement policies, which choose the worker that a task is placed on."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 WorkerFilter = Callable[[Worker], bool]
 
 ACCELERATOR_STRANDING_PENALTY = 1.0
+"""Added to the score of a task without accelerators on a worker that has some."""
 
 
 class PlacementPolicy(ABC):
-    """Chooses a worker with room for a task."""
+    """Chooses a worker with enough available resources for a task."""
 
     @abstractmethod
     def choose_worker(
-        self, task: Task, ledger: Ledger, allowed: WorkerFilter
+        self, task: Task, ledger: Ledger, is_allowed: WorkerFilter
     ) -> Worker | None:
         """Return the worker to place `task` on.
 
@@ -29,48 +30,56 @@
         task : Task
             The task to place.
         ledger : Ledger
-            The partition's workers.
-        allowed : callable
-            Tells whether the task may be placed on a worker that has room.
+            Ledger of the partition's workers.
+        is_allowed : callable
+            Tells whether the task may be placed on a worker that it fits on.
 
         Returns
         -------
         Worker or None
-            None if no sampled worker has room.
+            None if the task fits on no sampled worker that is allowed.
         """
 
 
-def stranding_score(worker: Worker, need: Resources) -> float:
-    """Rate how much room a placement would strand; lower is better.
+def stranding_score(worker: Worker, demand: Resources) -> float:
+    """Return how badly a placement would strand resources; lower is better.
 
-    The score is the larger the more unevenly the processors and memory that stay
-    free are left over, and the more of them stay free. A task without accelerators
-    on a worker that has free ones is charged a penalty.
+    The score grows with the processors and memory that stay available, and with the
+    difference between the two as fractions of the capacity. On a worker with
+    accelerators, a task that uses none adds a penalty, and a task that uses some
+    adds the fraction of them that stays available.
+
+    Parameters
+    ----------
+    worker : Worker
+        The worker that the task would be placed on.
+    demand : Resources
+        Resources that the task requests.
     """
     capacity = worker.info.capacity
-    free = worker.available
-    cpu_left = (free.cpu_millis - need.cpu_millis) / max(capacity.cpu_millis, 1)
-    memory_left = (free.memory_mb - need.memory_mb) / max(capacity.memory_mb, 1)
+    available = worker.available
+    cpu_left = (available.cpu_millis - demand.cpu_millis) / max(capacity.cpu_millis, 1)
+    memory_left = (available.memory_mb - demand.memory_mb) / max(capacity.memory_mb, 1)
     score = abs(cpu_left - memory_left) + 0.5 * (cpu_left + memory_left)
     if capacity.accelerators > 0:
-        if need.accelerators == 0:
+        if demand.accelerators == 0:
             score += ACCELERATOR_STRANDING_PENALTY
         else:
-            left = free.accelerators - need.accelerators
-            score += left / capacity.accelerators
+            accelerators_left = available.accelerators - demand.accelerators
+            score += accelerators_left / capacity.accelerators
     return score
 
 
-def _best_of(
-    workers: Sequence[Worker], task: Task, allowed: WorkerFilter
+def _choose_least_stranding(
+    workers: Sequence[Worker], task: Task, is_allowed: WorkerFilter
 ) -> Worker | None:
-    need = task.submission.resources
+    demand = task.submission.resources
     best = None
     best_score = 0.0
     for worker in workers:
-        if worker.info.name in task.failed_worker_names or not allowed(worker):
+        if worker.info.name in task.failed_worker_names or not is_allowed(worker):
             continue
-        score = stranding_score(worker, need)
+        score = stranding_score(worker, demand)
         if best is None or score < best_score:
             best = worker
             best_score = score
@@ -78,39 +87,43 @@
 
 
 class BestFitPlacement(PlacementPolicy):
-    """Fill the worker that would strand the least room."""
+    """Places a task on the worker where it strands the least resources."""
 
     def choose_worker(
-        self, task: Task, ledger: Ledger, allowed: WorkerFilter
+        self, task: Task, ledger: Ledger, is_allowed: WorkerFilter
     ) -> Worker | None:
-        """Return the best worker of the smallest size class that has one."""
+        """Return the best worker of the smallest size class that has a suitable one."""
         for workers in ledger.candidate_batches(task.submission.resources):
-            best = _best_of(workers, task, allowed)
+            best = _choose_least_stranding(workers, task, is_allowed)
             if best is not None:
                 return best
         return None
 
 
 class SpreadPlacement(PlacementPolicy):
-    """Spread the tasks of one piece of work over failure domains and workers."""
+    """Spreads the tasks of one submission over failure domains and workers."""
 
     def choose_worker(
-        self, task: Task, ledger: Ledger, allowed: WorkerFilter
+        self, task: Task, ledger: Ledger, is_allowed: WorkerFilter
     ) -> Worker | None:
-        """Return a worker in the failure domain that holds the fewest siblings."""
-        per_domain: Counter[str] = Counter()
-        per_worker: Counter[str] = Counter()
+        """Return a worker in the failure domain with the fewest of the work's tasks.
+
+        Within the domain, the worker has the fewest of them, too. Failure domains
+        without a suitable worker are skipped.
+        """
+        siblings_by_domain: Counter[str] = Counter()
+        siblings_by_worker: Counter[str] = Counter()
         for sibling in task.work.tasks:
             attempt = sibling.attempt
             if sibling is task or attempt is None or sibling.state.is_final:
                 continue
-            per_worker[attempt.worker] += 1
+            siblings_by_worker[attempt.worker] += 1
             worker = ledger.workers.get(attempt.worker)
             if worker is not None:
-                per_domain[worker.info.failure_domain] += 1
+                siblings_by_domain[worker.info.failure_domain] += 1
 
         domains = sorted(
-            ledger.failure_domains, key=lambda name: (per_domain[name], name)
+            ledger.failure_domains, key=lambda name: (siblings_by_domain[name], name)
         )
         for domain in domains:
             candidates = [
@@ -119,16 +132,19 @@
                     task.submission.resources, domain
                 )
                 for worker in workers
-                if allowed(worker) and worker.info.name not in task.failed_worker_names
+                if is_allowed(worker)
+                and worker.info.name not in task.failed_worker_names
             ]
             if candidates:
-                fewest = min(per_worker[worker.info.name] for worker in candidates)
-                emptiest = [
+                fewest = min(
+                    siblings_by_worker[worker.info.name] for worker in candidates
+                )
+                workers_with_fewest = [
                     worker
                     for worker in candidates
-                    if per_worker[worker.info.name] == fewest
+                    if siblings_by_worker[worker.info.name] == fewest
                 ]
-                return _best_of(emptiest, task, allowed)
+                return _choose_least_stranding(workers_with_fewest, task, is_allowed)
         return None
 
 
@@ -136,9 +152,9 @@
     policy: PlacementPolicy,
     tasks: Sequence[Task],
     ledger: Ledger,
-    allowed: WorkerFilter,
-    reserve: Callable[[Task, Worker], Attempt],
-    undo: Callable[[Task], None],
+    is_allowed: WorkerFilter,
+    allocate: Callable[[Task, Worker], Attempt],
+    deallocate: Callable[[Task], None],
 ) -> bool:
     """Place every task or none of them.
 
@@ -149,13 +165,13 @@
     tasks : sequence of Task
         The tasks to place together.
     ledger : Ledger
-        The partition's workers.
-    allowed : callable
-        Tells whether a worker may be used.
-    reserve : callable
-        Charges one task to a worker.
-    undo : callable
-        Takes a charge back.
+        Ledger of the partition's workers.
+    is_allowed : callable
+        Tells whether the tasks may be placed on a worker.
+    allocate : callable
+        Allocates the resources of one task on a worker.
+    deallocate : callable
+        Releases the resources of one task again.
 
     Returns
     -------
@@ -164,11 +180,11 @@
     """
     placed: list[Task] = []
     for task in tasks:
-        worker = policy.choose_worker(task, ledger, allowed)
+        worker = policy.choose_worker(task, ledger, is_allowed)
         if worker is None:
             for earlier in placed:
-                undo(earlier)
+                deallocate(earlier)
             return False
-        reserve(task, worker)
+        allocate(task, worker)
         placed.append(task)
     return True
--- a/src/fuchsiadale/decision/preemption.py
+++ b/src/fuchsiadale/decision/preemption.py
@@ -1,4 +1,4 @@
-"""Makes room for urgent tasks by stopping tasks that can run again."""
+"""Frees resources for urgent tasks by stopping attempts that can be run again."""
 
 from __future__ import annotations
 
@@ -10,13 +10,25 @@
 from fuchsiadale.decision.ledger import Ledger, Worker
 from fuchsiadale.decision.work import Attempt, Priority, Task, WorkKind
 
-SAMPLED_VICTIMS = 64
-EARMARK_S = 5.0
+# Number of preemptible attempts, youngest first, whose workers are considered.
+MAX_SAMPLED_ATTEMPTS = 64
+# Seconds for which the worker of a planned preemption is held for the urgent task.
+HOLD_DURATION_S = 5.0
 
 
 @frozen
 class Preemption:
-    """Attempts to stop on one worker for one urgent task."""
+    """Decision to stop attempts on one worker so that an urgent task fits there.
+
+    Attributes
+    ----------
+    task : Task
+        The urgent task.
+    worker : str
+        Name of the worker.
+    victims : list of Attempt
+        The attempts to stop.
+    """
 
     task: Task
     worker: str
@@ -24,13 +36,15 @@
 
 
 @frozen
-class _Earmark:
+class _WorkerHold:
+    """Hold on a worker for the urgent task with a preemption planned there."""
+
     task_id: str
-    until_s: float
+    expires_s: float
 
 
 def is_preemptible(task: Task) -> bool:
-    """Tell whether a task may be stopped for an urgent one."""
+    """Tell whether a task may be stopped so that an urgent one can run."""
     submission = task.submission
     return (
         submission.kind in (WorkKind.BATCH, WorkKind.GANG)
@@ -40,115 +54,124 @@
 
 
 class PreemptionPlanner:
-    """Chooses what to stop and keeps the freed room for who asked.
+    """Chooses attempts to stop, and holds their workers for the urgent tasks.
 
     Parameters
     ----------
     ledger : Ledger
-        The partition's workers.
+        Ledger of the partition's workers.
     clock : Clock
-        The clock.
+        Clock that the end of a hold is measured on.
     """
 
     def __init__(self, ledger: Ledger, clock: Clock) -> None:
         self._ledger = ledger
         self._clock = clock
-        self._preemptible: dict[str, Attempt] = {}
-        self._stoppable: dict[str, dict[str, Attempt]] = {}
-        self._earmarks: dict[str, _Earmark] = {}
-        self._planned: dict[str, str] = {}
+        self._preemptible_by_id: dict[str, Attempt] = {}
+        self._stoppable_by_team: dict[str, dict[str, Attempt]] = {}
+        self._hold_by_worker: dict[str, _WorkerHold] = {}
+        self._worker_by_task: dict[str, str] = {}
 
     def add_running(self, task: Task) -> None:
-        """Note a started attempt; the order of calls is the order of age."""
+        """Register the running attempt of a task as the youngest."""
         attempt = task.attempt
         if attempt is None:
             return
         if is_preemptible(task):
-            self._preemptible[attempt.attempt_id] = attempt
+            self._preemptible_by_id[attempt.attempt_id] = attempt
         if task.submission.idempotent and task.submission.kind is not WorkKind.REQUEST:
-            of_team = self._stoppable.setdefault(attempt.team, {})
-            of_team[attempt.attempt_id] = attempt
+            team_attempts = self._stoppable_by_team.setdefault(attempt.team, {})
+            team_attempts[attempt.attempt_id] = attempt
 
     def remove_running(self, attempt: Attempt) -> None:
-        """Forget an attempt."""
-        self._preemptible.pop(attempt.attempt_id, None)
-        of_team = self._stoppable.get(attempt.team)
-        if of_team is not None:
-            of_team.pop(attempt.attempt_id, None)
-            if not of_team:
-                del self._stoppable[attempt.team]
+        """Remove an attempt that ended."""
+        self._preemptible_by_id.pop(attempt.attempt_id, None)
+        team_attempts = self._stoppable_by_team.get(attempt.team)
+        if team_attempts is not None:
+            team_attempts.pop(attempt.attempt_id, None)
+            if not team_attempts:
+                del self._stoppable_by_team[attempt.team]
 
     def drop_hold(self, task: Task) -> None:
-        """Drop the earmark of a task that was placed or cancelled."""
-        worker = self._planned.pop(task.task_id, None)
+        """Drop the worker hold of a task that was placed or cancelled."""
+        worker = self._worker_by_task.pop(task.task_id, None)
         if worker is not None:
-            self._earmarks.pop(worker, None)
+            self._hold_by_worker.pop(worker, None)
 
     def stoppable_youngest_first(self, team: str) -> Iterator[Attempt]:
-        """Yield a team's attempts that may be stopped, youngest first."""
-        yield from reversed(list(self._stoppable.get(team, {}).values()))
+        """Yield the attempts of a team that can be run again, youngest first."""
+        yield from reversed(list(self._stoppable_by_team.get(team, {}).values()))
 
     def allows_placement(self, task: Task, worker: Worker) -> bool:
-        """Tell whether no other task has the worker earmarked."""
-        earmark = self._earmarks.get(worker.info.name)
-        if earmark is None or earmark.task_id == task.task_id:
+        """Tell whether the worker is not held for another task."""
+        hold = self._hold_by_worker.get(worker.info.name)
+        if hold is None or hold.task_id == task.task_id:
             return True
-        return self._clock.now() >= earmark.until_s
+        return self._clock.now() >= hold.expires_s
 
     def plan(self, tasks: Iterable[Task]) -> list[Preemption]:
-        """Return what to stop for each task that has no live plan yet."""
-        self._expire()
+        """Return a preemption for each task that holds no worker yet, where possible.
+
+        Parameters
+        ----------
+        tasks : iterable of Task
+            Pending urgent tasks.
+        """
+        self._drop_expired_holds()
         plans: list[Preemption] = []
         for task in tasks:
-            if task.task_id in self._planned:
+            if task.task_id in self._worker_by_task:
                 continue
-            plan = self._plan_one(task)
+            plan = self._plan_preemption(task)
             if plan is not None:
-                self._earmark(plan)
+                self._hold_worker(plan)
                 plans.append(plan)
         return plans
 
-    def _plan_one(self, task: Task) -> Preemption | None:
+    def _plan_preemption(self, task: Task) -> Preemption | None:
+        """Return the preemption with the fewest victims for a task, if any."""
         best: Preemption | None = None
-        seen: set[str] = set()
-        youngest = reversed(self._preemptible.values())
-        for _, attempt in zip(range(SAMPLED_VICTIMS), youngest, strict=False):
-            if attempt.worker in seen or attempt.worker in self._earmarks:
+        seen_workers: set[str] = set()
+        youngest = reversed(self._preemptible_by_id.values())
+        for _, attempt in zip(range(MAX_SAMPLED_ATTEMPTS), youngest, strict=False):
+            if attempt.worker in seen_workers or attempt.worker in self._hold_by_worker:
                 continue
-            seen.add(attempt.worker)
-            victims = self._victims_on(attempt.worker, task)
+            seen_workers.add(attempt.worker)
+            victims = self._choose_victims(attempt.worker, task)
             if victims is None:
                 continue
             if best is None or len(victims) < len(best.victims):
                 best = Preemption(task, attempt.worker, victims)
         return best
 
-    def _victims_on(self, name: str, task: Task) -> list[Attempt] | None:
-        """Return the fewest youngest attempts whose end makes room, if any do."""
+    def _choose_victims(self, name: str, task: Task) -> list[Attempt] | None:
+        """Return the youngest attempts to stop so that the task fits, or None."""
         worker = self._ledger.workers[name]
         if not worker.is_schedulable or name in task.failed_worker_names:
             return None
-        need = task.submission.resources
-        room = worker.available
+        demand = task.submission.resources
+        available = worker.available
         victims: list[Attempt] = []
         for attempt in reversed(worker.attempts.values()):
-            if need.fits_in(room):
+            if demand.fits_in(available):
                 break
-            if attempt.attempt_id in self._preemptible:
+            if attempt.attempt_id in self._preemptible_by_id:
                 victims.append(attempt)
-                room = room + attempt.resources
-        return victims if victims and need.fits_in(room) else None
+                available = available + attempt.resources
+        return victims if victims and demand.fits_in(available) else None
 
-    def _earmark(self, plan: Preemption) -> None:
-        until_s = self._clock.now() + EARMARK_S
-        self._earmarks[plan.worker] = _Earmark(plan.task.task_id, until_s)
-        self._planned[plan.task.task_id] = plan.worker
+    def _hold_worker(self, plan: Preemption) -> None:
+        expires_s = self._clock.now() + HOLD_DURATION_S
+        self._hold_by_worker[plan.worker] = _WorkerHold(plan.task.task_id, expires_s)
+        self._worker_by_task[plan.task.task_id] = plan.worker
 
-    def _expire(self) -> None:
+    def _drop_expired_holds(self) -> None:
         now_s = self._clock.now()
         expired = [
-            name for name, mark in self._earmarks.items() if now_s >= mark.until_s
+            name
+            for name, hold in self._hold_by_worker.items()
+            if now_s >= hold.expires_s
         ]
         for name in expired:
-            earmark = self._earmarks.pop(name)
-            self._planned.pop(earmark.task_id, None)
+            hold = self._hold_by_worker.pop(name)
+            self._worker_by_task.pop(hold.task_id, None)
--- a/src/fuchsiadale/decision/reservation.py
+++ b/src/fuchsiadale/decision/reservation.py
@@ -1,4 +1,4 @@
-"""Reservations that keep a gang from starving behind smaller tasks."""
+"""Reservations that keep smaller tasks from starving a gang."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 
 @frozen
 class Reservation:
-    """Workers kept for one gang.
+    """Workers that are reserved for one gang.
 
     Attributes
     ----------
     work_id : str
-        The gang.
+        Work id of the gang.
     workers : frozenset of str
-        The workers kept.
+        Names of the reserved workers.
     expected_s : float
-        Clock time at which they are expected to have room, from declared run times.
+        Clock time at which the gang is expected to start; tasks that are declared to
+        end before may run on the reserved workers.
     expires_s : float
-        Clock time at which the gang gives the workers up.
+        Clock time at which the reservation ends.
     """
 
     work_id: str
@@ -34,71 +35,81 @@
     expires_s: float
 
 
-def count_fitting_tasks(room: Resources, need: Resources) -> int:
-    """Return how many tasks of size `need` fit into `room`."""
+def count_fitting_tasks(available: Resources, demand: Resources) -> int:
+    """Return how many tasks that each request `demand` fit into `available`."""
     counts = [
-        available // wanted
-        for available, wanted in (
-            (room.cpu_millis, need.cpu_millis),
-            (room.memory_mb, need.memory_mb),
-            (room.accelerators, need.accelerators),
-            (room.slots, need.slots),
-            (room.connections, need.connections),
+        available_amount // demanded_amount
+        for available_amount, demanded_amount in (
+            (available.cpu_millis, demand.cpu_millis),
+            (available.memory_mb, demand.memory_mb),
+            (available.accelerators, demand.accelerators),
+            (available.slots, demand.slots),
+            (available.connections, demand.connections),
         )
-        if wanted > 0
+        if demanded_amount > 0
     ]
     return min(counts, default=0)
 
 
 class GangReservations:
-    """Holds at most one reservation, so that two gangs cannot block each other.
+    """Holds at most one gang's reservation, so that two gangs cannot deadlock.
 
-    Tasks that are declared to end before the reserved room is expected may still be
-    placed there (EASY backfilling; Lifka, "The ANL/IBM SP Scheduling System", 1995).
+    Tasks that are declared to end before the gang is expected to start may still be
+    placed on the reserved workers (EASY backfilling; Lifka, "The ANL/IBM SP
+    Scheduling System", 1995).
 
     Parameters
     ----------
     ledger : Ledger
-        The partition's workers.
+        Ledger of the partition's workers.
     clock : Clock
-        The clock.
+        Clock that the end of a reservation is measured on.
     """
 
     def __init__(self, ledger: Ledger, clock: Clock) -> None:
         self._ledger = ledger
         self._clock = clock
         self._current: Reservation | None = None
-        self._barred_until_s: dict[str, float] = {}
+        self._blocked_until_s: dict[str, float] = {}
 
     @property
     def current(self) -> Reservation | None:
-        """The reservation in force, if any."""
+        """The current reservation, if any."""
         return self._current
 
     def drop(self, work_id: str) -> None:
-        """End the reservation of a gang that was placed or cancelled."""
-        self._barred_until_s.pop(work_id, None)
+        """Drop the reservation, if any, of a gang that was placed or cancelled."""
+        self._blocked_until_s.pop(work_id, None)
         if self._current is not None and self._current.work_id == work_id:
             self._current = None
 
-    def reserve_workers(self, tasks: Sequence[Task], hold_s: float) -> None:
-        """Reserve workers for a gang unless another one holds a reservation."""
+    def reserve_workers(self, tasks: Sequence[Task], duration_s: float) -> None:
+        """Reserve workers for a gang, unless there is a current reservation.
+
+        Parameters
+        ----------
+        tasks : sequence of Task
+            The tasks of the gang.
+        duration_s : float
+            Duration of the reservation in seconds. If it ends before the gang is
+            placed, the gang cannot reserve workers again for the same duration.
+        """
         now_s = self._clock.now()
-        self._expire(now_s, hold_s)
+        self._drop_expired(now_s, duration_s)
         work_id = tasks[0].submission.work_id
-        if self._current is not None or now_s < self._barred_until_s.get(work_id, 0.0):
+        if self._current is not None or now_s < self._blocked_until_s.get(work_id, 0.0):
             return
         chosen = self._choose_workers(tasks)
         if chosen:
             self._current = Reservation(
                 work_id,
                 frozenset(chosen),
-                expected_s=now_s + hold_s / 2,
-                expires_s=now_s + hold_s,
+                expected_s=now_s + duration_s / 2,
+                expires_s=now_s + duration_s,
             )
 
     def allows_placement(self, task: Task, worker: Worker) -> bool:
-        """Tell whether a task may be placed despite the reservation."""
+        """Tell whether the current reservation allows a task on a worker."""
         current = self._current
         if current is None or worker.info.name not in current.workers:
             return True
@@ -112,29 +123,29 @@
             return False
         return now_s + submission.declared_run_s <= current.expected_s
 
-    def _expire(self, now_s: float, hold_s: float) -> None:
-        """End an old reservation and let other gangs go before its holder."""
+    def _drop_expired(self, now_s: float, duration_s: float) -> None:
+        """Drop an expired reservation and let other gangs reserve before its holder."""
         current = self._current
         if current is not None and now_s >= current.expires_s:
-            self._barred_until_s[current.work_id] = now_s + hold_s
+            self._blocked_until_s[current.work_id] = now_s + duration_s
             self._current = None
 
     def _choose_workers(self, tasks: Sequence[Task]) -> list[str]:
-        """Return the least loaded workers that could hold the gang when empty."""
-        need = tasks[0].submission.resources
-        open_workers = [
+        """Return the least loaded workers whose capacity suffices for the gang."""
+        demand = tasks[0].submission.resources
+        ready_workers = [
             worker
             for worker in self._ledger.workers.values()
             if worker.state is WorkerState.READY
         ]
-        open_workers.sort(key=lambda worker: len(worker.attempts))
+        ready_workers.sort(key=lambda worker: len(worker.attempts))
         chosen: list[str] = []
-        missing = len(tasks)
-        for worker in open_workers:
-            fits = count_fitting_tasks(worker.info.capacity, need)
-            if fits > 0:
+        unplaced_count = len(tasks)
+        for worker in ready_workers:
+            task_count = count_fitting_tasks(worker.info.capacity, demand)
+            if task_count > 0:
                 chosen.append(worker.info.name)
-                missing -= fits
-            if missing <= 0:
+                unplaced_count -= task_count
+            if unplaced_count <= 0:
                 return chosen
         return []
--- a/src/fuchsiadale/decision/resources.py
+++ b/src/fuchsiadale/decision/resources.py
@@ -1,4 +1,4 @@
-"""Resource vectors: what a worker has and what a task takes."""
+"""Resource vectors: the capacity of a worker or the demand of a task."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Resources:
-    """Amounts of the resources that are accounted for.
+    """Amounts of every resource that the scheduler accounts for.
 
     Attributes
     ----------
@@ -16,11 +16,11 @@
     memory_mb : int
         Memory in MiB.
     accelerators : int
-        Whole accelerators.
+        Number of accelerators.
     slots : int
-        Task slots.
+        Number of task slots.
     connections : int
-        Open connections to the backend server.
+        Number of open connections to the backend server.
     """
 
     cpu_millis: int = 0
@@ -50,7 +50,7 @@
         )
 
     def minimum(self, other: Resources) -> Resources:
-        """Return the smaller of each pair of amounts."""
+        """Return the element-wise minimum."""
         return Resources(
             min(self.cpu_millis, other.cpu_millis),
             min(self.memory_mb, other.memory_mb),
@@ -60,7 +60,7 @@
         )
 
     def maximum(self, other: Resources) -> Resources:
-        """Return the larger of each pair of amounts."""
+        """Return the element-wise maximum."""
         return Resources(
             max(self.cpu_millis, other.cpu_millis),
             max(self.memory_mb, other.memory_mb),
@@ -70,7 +70,10 @@
         )
 
     def scaled_down(self, numerator: Resources, denominator: Resources) -> Resources:
-        """Return each amount times ``numerator / denominator``, rounded down."""
+        """Return each amount times ``numerator / denominator``, rounded down.
+
+        Zero amounts of the denominator count as 1.
+        """
         return Resources(
             self.cpu_millis * numerator.cpu_millis // max(denominator.cpu_millis, 1),
             self.memory_mb * numerator.memory_mb // max(denominator.memory_mb, 1),
@@ -91,22 +94,21 @@
             self.connections * count,
         )
 
-    def fits_in(self, room: Resources) -> bool:
-        """Tell whether no amount exceeds the one in `room`."""
+    def fits_in(self, available: Resources) -> bool:
+        """Tell whether every amount is at most the one in `available`."""
         return (
-            self.cpu_millis <= room.cpu_millis
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
-            and self.slots <= room.slots
-            and self.connections <= room.connections
+            self.cpu_millis <= available.cpu_millis
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
+            and self.slots <= available.slots
+            and self.connections <= available.connections
         )
 
     def dominant_share(self, total: Resources) -> float:
-        """Return the largest fraction of `total` that is used.
+        """Return the largest fraction that any amount is of the one in `total`.
 
-        Processors, memory and accelerators count. This is the dominant share of
-        Ghodsi et al., "Dominant Resource Fairness",
-        NSDI 2011.
+        Only processors, memory and accelerators count. This is the dominant share of
+        Ghodsi et al., "Dominant Resource Fairness", NSDI 2011.
         """
         share = 0.0
         if total.cpu_millis > 0:
--- a/src/fuchsiadale/decision/scheduler.py
+++ b/src/fuchsiadale/decision/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides which pending tasks go to which workers."""
+"""Scheduler that decides which pending tasks are placed on which workers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from fuchsiadale.decision.constants import GANG_RESERVATION_S
 from fuchsiadale.decision.fairness import (
     FairQueue,
-    TaskGroupKey,
     OrderWeights,
+    TaskGroupKey,
     TeamUsage,
 )
 from fuchsiadale.decision.ledger import Ledger, Worker
@@ -48,7 +48,7 @@
 
 @frozen
 class Placement:
-    """A task and the attempt that was charged for it."""
+    """A task and the attempt that resources were allocated to for it."""
 
     task: Task
     attempt: Attempt
@@ -56,14 +56,14 @@
 
 @define
 class TeamAllowance:
-    """What a team may run in this partition and what it would need.
+    """Grant of a team in this partition, and the larger grant that it needs.
 
     Attributes
     ----------
     grant : Resources
-        The partition's grant of the team's upper limit.
+        Part of the team's limit that is granted to this partition.
     wanted : Resources or None
-        The grant that the next waiting task needs, if the present one is too small.
+        Grant that the team's waiting tasks need, if the present one is too small.
     """
 
     grant: Resources = NO_LIMIT
@@ -71,25 +71,26 @@
 
 
 class Scheduler:
-    """Places pending tasks of one partition.
+    """Places the pending tasks of one partition on its workers.
 
     Parameters
     ----------
     ledger : Ledger
-        The partition's workers.
+        Ledger of the partition's workers.
     clock : Clock
-        The clock.
+        Clock that claims, holds and reservations expire on.
     epoch : int
-        The epoch that new attempts carry.
+        Epoch of the partition's owner, which new attempts carry.
     weights : OrderWeights
-        How teams are ordered.
+        Weights of usage and waiting time in the order of the teams.
     policies : mapping of WorkKind to PlacementPolicy, optional
         The placement policy of each kind of work.
 
     Attributes
     ----------
     fleet_capacity : Resources or None
-        What usage is measured against; the partition's own capacity if None.
+        Capacity that dominant shares are computed from; the partition's own capacity
+        if None.
     """
 
     def __init__(
@@ -103,11 +104,11 @@
         self._ledger = ledger
         self._clock = clock
         self._epoch = epoch
-        self._policies = dict(policies or default_placement_policies())
-        self._usage: dict[str, TeamUsage] = {}
-        self._allowances: dict[str, TeamAllowance] = {}
-        self._queues = {
-            priority: FairQueue(weights, self._usage) for priority in Priority
+        self._policy_by_kind = dict(policies or default_placement_policies())
+        self._usage_by_team: dict[str, TeamUsage] = {}
+        self._allowance_by_team: dict[str, TeamAllowance] = {}
+        self._queue_by_priority = {
+            priority: FairQueue(weights, self._usage_by_team) for priority in Priority
         }
         self.fleet_capacity: Resources | None = None
         self._preemption = PreemptionPlanner(ledger, clock)
@@ -116,113 +117,126 @@
 
     @property
     def usage(self) -> dict[str, TeamUsage]:
-        """Usage by team."""
-        return self._usage
+        """Resource usage by team."""
+        return self._usage_by_team
 
     @property
     def allowances(self) -> dict[str, TeamAllowance]:
-        """Allowance by team."""
-        return self._allowances
+        """Allowance by team; a team without an allowance has no limit."""
+        return self._allowance_by_team
 
     @property
     def pending_count(self) -> int:
-        """Number of tasks that wait."""
-        return sum(len(queue) for queue in self._queues.values())
+        """Number of queued tasks."""
+        return sum(len(queue) for queue in self._queue_by_priority.values())
 
     def set_weights(self, weights: OrderWeights) -> None:
-        """Change how teams are ordered."""
-        for queue in self._queues.values():
+        """Set the weights in the order of the teams, and reorder the teams."""
+        for queue in self._queue_by_priority.values():
             queue.weights = weights
             queue.reorder_all()
 
     def set_share(self, team: str, share: float) -> None:
-        """Change a team's share."""
-        usage = self._usage.setdefault(team, TeamUsage())
+        """Set the configured share of a team."""
+        usage = self._usage_by_team.setdefault(team, TeamUsage())
         if usage.share != share:
             usage.share = share
-            self._touch(team)
+            self._reorder_team(team)
 
-    def set_remote_dominant_share(self, team: str, remote_share: float) -> None:
-        """Take what a team uses of the fleet in other partitions."""
-        self._usage.setdefault(team, TeamUsage()).remote_dominant_share = remote_share
-        self._touch(team)
+    def set_remote_dominant_share(
+        self, team: str, remote_dominant_share: float
+    ) -> None:
+        """Set the dominant share of the fleet that a team uses in other partitions."""
+        self._usage_by_team.setdefault(
+            team, TeamUsage()
+        ).remote_dominant_share = remote_dominant_share
+        self._reorder_team(team)
 
     def set_grant(self, team: str, grant: Resources) -> None:
-        """Change what a team may run here."""
-        allowance = self._allowances.setdefault(team, TeamAllowance())
+        """Set the grant of a team in this partition."""
+        allowance = self._allowance_by_team.setdefault(team, TeamAllowance())
         allowance.grant = grant
         allowance.wanted = None
 
     def add(self, task: Task) -> None:
         """Queue a pending task."""
-        self._queues[task.submission.priority].push(task)
+        self._queue_by_priority[task.submission.priority].push(task)
 
     def remove(self, task: Task) -> None:
-        """Take a pending task out of its queue."""
-        self._dequeue(self._queues[task.submission.priority], task)
+        """Remove a pending task from its queue."""
+        self._remove_from_queue(self._queue_by_priority[task.submission.priority], task)
 
     def pending_tasks(self) -> Iterator[Task]:
-        """Yield every queued task, urgent ones first."""
+        """Yield every queued task, urgent tasks first."""
         for priority in Priority:
-            yield from self._queues[priority].pending_tasks()
+            yield from self._queue_by_priority[priority].pending_tasks()
 
     def allocate_running(self, attempt: Attempt) -> None:
-        """Charge an attempt that was found running on its worker."""
+        """Allocate resources to an attempt that may already run on its worker."""
         worker = self._ledger.workers[attempt.worker]
         if attempt.attempt_id in worker.attempts:
             return
         self._ledger.allocate(attempt)
-        self._use(attempt.team, attempt.resources)
+        self._add_usage(attempt.team, attempt.resources)
 
     def release(self, attempt: Attempt) -> bool:
-        """Give back the room of an attempt that surely ended."""
+        """Release the resources of an attempt that has surely ended.
+
+        Returns
+        -------
+        bool
+            False if no resources were allocated to the attempt.
+        """
         self._preemption.remove_running(attempt)
         if not self._ledger.release(attempt):
             return False
-        usage = self._usage[attempt.team]
+        usage = self._usage_by_team[attempt.team]
         usage.local = usage.local - attempt.resources
-        self._touch(attempt.team)
+        self._reorder_team(attempt.team)
         return True
 
     def schedule(self) -> Iterator[Placement]:
-        """Place what fits, in the teams' order; each placement is charged."""
+        """Place the tasks that fit, in the order of the teams.
+
+        Resources are allocated before a placement is yielded.
+        """
         self._claims.drop_expired()
         for priority in Priority:
-            queue = self._queues[priority]
+            queue = self._queue_by_priority[priority]
             queue.set_total_capacity(self.fleet_capacity or self._ledger.capacity)
-            failed: set[TaskGroupKey] = set()
+            failed_groups: set[TaskGroupKey] = set()
             for team in queue.teams_in_order():
-                yield from self._schedule_team(queue, team, failed)
-            self._claim_for_neediest(queue)
+                yield from self._schedule_team(queue, team, failed_groups)
+            self._claim_workers(queue)
 
     def plan_preemptions(self) -> list[Preemption]:
-        """Choose attempts to stop so that waiting urgent tasks get room."""
-        urgent = self._queues[Priority.URGENT]
+        """Choose attempts to stop so that pending urgent tasks fit on a worker."""
+        urgent = self._queue_by_priority[Priority.URGENT]
         return self._preemption.plan(
-            task for task in urgent.pending_tasks() if self._within_grant(task, 1)
+            task for task in urgent.pending_tasks() if self._fits_grant(task, 1)
         )
 
     def attempts_above_grant(self, team: str) -> list[Attempt]:
-        """Return the team's youngest attempts that exceed its grant."""
-        usage = self._usage.get(team)
-        allowance = self._allowances.get(team)
+        """Return the youngest attempts to stop so that a team is within its grant."""
+        usage = self._usage_by_team.get(team)
+        allowance = self._allowance_by_team.get(team)
         if usage is None or allowance is None:
             return []
-        excess = usage.local
-        chosen: list[Attempt] = []
+        remaining_usage = usage.local
+        chosen_attempts: list[Attempt] = []
         for attempt in self._preemption.stoppable_youngest_first(team):
-            if excess.fits_in(allowance.grant):
+            if remaining_usage.fits_in(allowance.grant):
                 break
-            chosen.append(attempt)
-            excess = excess - attempt.resources
-        return chosen
+            chosen_attempts.append(attempt)
+            remaining_usage = remaining_usage - attempt.resources
+        return chosen_attempts
 
     def add_running(self, task: Task) -> None:
-        """Note that a task's attempt was sent, so that it can be preempted."""
+        """Make the running attempt of a task a candidate for preemption."""
         self._preemption.add_running(task)
 
-    def _dequeue(self, queue: FairQueue, task: Task) -> None:
-        """Take a task out of its queue, and drop what was kept for it."""
+    def _remove_from_queue(self, queue: FairQueue, task: Task) -> None:
+        """Remove a task from its queue, and drop the workers that are kept for it."""
         queue.remove(task)
         self._preemption.drop_hold(task)
         self._claims.drop(task.task_id)
@@ -230,69 +244,74 @@
             self._reservations.drop(task.submission.work_id)
 
     def _schedule_team(
-        self, queue: FairQueue, team: str, failed: set[TaskGroupKey]
+        self, queue: FairQueue, team: str, failed_groups: set[TaskGroupKey]
     ) -> Iterator[Placement]:
-        """Place the first lane head of a team that fits.
+        """Place the first task of a team that fits, or the gang that it belongs to.
 
-        Lanes that did not fit are noted in `failed`, for all teams of the pass.
+        Only the oldest task of each group is tried. A group that is within the team's
+        grant and fits on no worker is added to `failed_groups`; the equivalent groups
+        of other teams are then skipped in this pass.
         """
         for key, task in queue.group_heads(team):
-            if key in failed:
+            if key in failed_groups:
                 continue
-            placements = self._place_lane(queue, key, task)
+            placements = self._place_group(queue, key, task)
             if placements:
                 queue.reorder_team(team)
                 yield from placements
                 return
-            if self._within_grant(task, 1):
-                failed.add(key)
+            if self._fits_grant(task, 1):
+                failed_groups.add(key)
 
-    def _claim_for_neediest(self, queue: FairQueue) -> None:
-        """Let room gather for the oldest tasks of the teams that come first."""
+    def _claim_workers(self, queue: FairQueue) -> None:
+        """Claim a worker for the oldest claimable task of each team, in their order."""
         for team in queue.teams_in_order():
             if not self._claims.is_below_limit:
                 return
             for key, task in queue.group_heads(team):
-                if key.kind is not WorkKind.GANG and self._within_grant(task, 1):
-                    self._claims.claim_worker(task, self._filter_for(task))
+                if key.kind is not WorkKind.GANG and self._fits_grant(task, 1):
+                    self._claims.claim_worker(task, self._placement_filter(task))
                     break
 
-    def _place_lane(
+    def _place_group(
         self, queue: FairQueue, key: TaskGroupKey, task: Task
     ) -> list[Placement]:
+        """Place the oldest task of a group, or the whole gang."""
         if key.kind is WorkKind.GANG:
             return self._place_gang(queue, key, task)
-        if not self._within_grant(task, 1):
+        if not self._fits_grant(task, 1):
             return []
-        policy = self._policies[key.kind]
-        worker = policy.choose_worker(task, self._ledger, self._filter_for(task))
+        policy = self._policy_by_kind[key.kind]
+        worker = policy.choose_worker(task, self._ledger, self._placement_filter(task))
         if worker is None and task.failed_worker_names:
             task.failed_worker_names.clear()
-            worker = policy.choose_worker(task, self._ledger, self._filter_for(task))
+            worker = policy.choose_worker(
+                task, self._ledger, self._placement_filter(task)
+            )
         if worker is None:
             return []
-        attempt = self._reserve(task, worker)
-        self._dequeue(queue, task)
+        attempt = self._allocate(task, worker)
+        self._remove_from_queue(queue, task)
         return [Placement(task, attempt)]
 
     def _place_gang(
         self, queue: FairQueue, key: TaskGroupKey, head: Task
     ) -> list[Placement]:
-        """Place all tasks of a gang at once, or reserve workers for it."""
-        tasks = queue.lane(head.submission.team, key)
-        unfinished = [task for task in head.work.tasks if not task.state.is_final]
-        if len(tasks) < len(unfinished) or not self._within_grant(head, len(tasks)):
+        """Place all tasks of a gang at once, or else reserve workers for it."""
+        tasks = queue.group_tasks(head.submission.team, key)
+        unfinished_tasks = [task for task in head.work.tasks if not task.state.is_final]
+        if len(tasks) < len(unfinished_tasks) or not self._fits_grant(head, len(tasks)):
             return []
         if place_all_or_none(
-            self._policies[WorkKind.GANG],
+            self._policy_by_kind[WorkKind.GANG],
             tasks,
             self._ledger,
-            self._filter_for(head),
-            self._reserve,
-            self._undo,
+            self._placement_filter(head),
+            self._allocate,
+            self._deallocate,
         ):
             for task in tasks:
-                self._dequeue(queue, task)
+                self._remove_from_queue(queue, task)
             return [
                 Placement(task, task.attempt)
                 for task in tasks
@@ -304,7 +323,8 @@
             self._claims.drop_claims_on(current.workers)
         return []
 
-    def _reserve(self, task: Task, worker: Worker) -> Attempt:
+    def _allocate(self, task: Task, worker: Worker) -> Attempt:
+        """Plan an attempt of a task on a worker and allocate its resources."""
         submission = task.submission
         task.attempts_made += 1
         attempt = Attempt(
@@ -318,44 +338,50 @@
             boot_id=worker.boot_id,
         )
         self._ledger.allocate(attempt)
-        self._use(submission.team, submission.resources)
+        self._add_usage(submission.team, submission.resources)
         task.attempt = attempt
         task.state = TaskState.PLACED
         return attempt
 
-    def _undo(self, task: Task) -> None:
+    def _deallocate(self, task: Task) -> None:
+        """Revoke the planned attempt of a task and release its resources."""
         if task.attempt is not None:
             self.release(task.attempt)
         task.attempt = None
         task.state = TaskState.PENDING
 
-    def _filter_for(self, task: Task) -> WorkerFilter:
-        def allowed(worker: Worker) -> bool:
+    def _placement_filter(self, task: Task) -> WorkerFilter:
+        """Return a function that tells whether a worker is kept for no other task."""
+
+        def is_allowed(worker: Worker) -> bool:
             return (
                 self._preemption.allows_placement(task, worker)
                 and self._reservations.allows_placement(task, worker)
                 and self._claims.allows_placement(task, worker)
             )
 
-        return allowed
+        return is_allowed
 
-    def _within_grant(self, task: Task, count: int) -> bool:
-        """Tell whether the team's grant has room; note what is wanted if not."""
+    def _fits_grant(self, task: Task, count: int) -> bool:
+        """Tell whether `count` more such tasks fit into the grant of their team.
+
+        If not, the grant that they need is recorded as wanted.
+        """
         team = task.submission.team
-        allowance = self._allowances.get(team)
+        allowance = self._allowance_by_team.get(team)
         if allowance is None:
             return True
-        usage = self._usage.setdefault(team, TeamUsage())
-        needed = usage.local + task.submission.resources.times(count)
-        if needed.fits_in(allowance.grant):
+        usage = self._usage_by_team.setdefault(team, TeamUsage())
+        required = usage.local + task.submission.resources.times(count)
+        if required.fits_in(allowance.grant):
             return True
-        allowance.wanted = needed.maximum(allowance.wanted or NO_RESOURCES)
+        allowance.wanted = required.maximum(allowance.wanted or NO_RESOURCES)
         return False
 
-    def _use(self, team: str, resources: Resources) -> None:
-        usage = self._usage.setdefault(team, TeamUsage())
+    def _add_usage(self, team: str, resources: Resources) -> None:
+        usage = self._usage_by_team.setdefault(team, TeamUsage())
         usage.local = usage.local + resources
 
-    def _touch(self, team: str) -> None:
-        for queue in self._queues.values():
+    def _reorder_team(self, team: str) -> None:
+        for queue in self._queue_by_priority.values():
             queue.reorder_team(team)
--- a/src/fuchsiadale/decision/work.py
+++ b/src/fuchsiadale/decision/work.py
@@ -1,4 +1,4 @@
-"""Pieces of work, their tasks and the attempts to run them."""
+"""Accepted submissions, their tasks and the attempts to run the tasks."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WorkKind(Enum):
-    """The kinds of work, each with a placement policy of its own."""
+    """The kinds of work, each of which has a placement policy."""
 
     REQUEST = "request"
     BATCH = "batch"
@@ -21,14 +21,14 @@
 
 
 class Priority(IntEnum):
-    """Order among the tasks of one team; lower runs first."""
+    """Priority of a task over other pending tasks; the lower value runs first."""
 
     URGENT = 0
     NORMAL = 1
 
 
 class TaskState(Enum):
-    """Where a task stands."""
+    """The state of a task in its life cycle."""
 
     PENDING = "pending"
     PLACED = "placed"
@@ -41,7 +41,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the task can change no more."""
+        """Whether this state never changes again."""
         return self in _FINAL_STATES
 
 
@@ -56,7 +56,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt to run a task."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -67,12 +67,12 @@
 
 @frozen
 class Program:
-    """What a task runs.
+    """The program that a task runs, and its input.
 
     Attributes
     ----------
     name : str
-        Name of a program that the backend servers know.
+        Name under which the backend servers know the program.
     payload : bytes
         Input of the program.
     """
@@ -83,36 +83,37 @@
 
 @frozen
 class Submission:
-    """A piece of work as its caller submitted it.
+    """A request to run a number of tasks, as a client submitted it.
 
     Attributes
     ----------
     work_id : str
-        ``<partition>.<random>``; the same on every repeat of one submission.
+        ``<partition>.<random>``; stays the same when the submission is repeated.
     kind : WorkKind
-        Selects the placement policy.
+        Kind of work, which selects the placement policy.
     team : str
-        The team whose rights and limits apply; empty for a queue open to all.
+        The team whose permissions and limits apply; empty if the queue is open to
+        all.
     queue : str
-        Name of the queue it entered by.
+        Name of the queue that it was submitted to.
     program : Program
-        What each task runs.
+        The program that each task runs.
     resources : Resources
-        What each task takes.
+        Resources that each task requests.
     tasks : int
         Number of tasks.
     priority : Priority
-        Order within the team.
+        Priority of its tasks over other pending tasks.
     idempotent : bool
-        Whether a task may run again after a run that surely ended.
+        Whether a task may be run again once its former attempt has surely ended.
     key : str
-        The caller's idempotency key; empty for none.
+        The client's idempotency key; empty if it gave none.
     deadline_s : float
-        Seconds that a request's caller waits.
+        Seconds for which the client of a request waits for the result.
     declared_run_s : float
-        Seconds that a task is said to run; 0 if not said.
+        Run time of a task in seconds, as the client estimated it; 0 if unknown.
     resubmitted : bool
-        Whether an earlier owner of the partition may have started it.
+        Whether a former owner of the partition may have started it.
     """
 
     work_id: str
@@ -131,7 +132,7 @@
 
     @property
     def is_journalled(self) -> bool:
-        """Whether the work must be on record before it starts."""
+        """Whether the journal must hold the submission before a task starts."""
         return (
             self.kind is not WorkKind.REQUEST or not self.idempotent or self.key != ""
         )
@@ -139,26 +140,26 @@
 
 @frozen
 class Attempt:
-    """One try to run a task on one worker.
+    """One attempt to run a task on one worker.
 
     Attributes
     ----------
     attempt_id : str
         ``<task id>#<epoch>.<number>``.
     task_id : str
-        The task.
+        The task that it runs.
     worker : str
-        Where it is to run.
+        Name of the worker that it runs on.
     epoch : int
-        The epoch of the owner that planned it.
+        Epoch of the partition owner that planned it.
     resources : Resources
-        What it takes.
+        Resources that it is allocated.
     program : Program
-        What it runs.
+        The program that it runs.
     team : str
-        The team it runs for.
+        The team that its resources count for.
     boot_id : str
-        The worker's boot in which it was planned; empty if not known.
+        Boot identifier of the worker when it was planned; empty if unknown.
     """
 
     attempt_id: str
@@ -173,16 +174,16 @@
 
 @frozen
 class TaskAnswer:
-    """What a task returned.
+    """The output of a task.
 
     Attributes
     ----------
     attempt_id, worker : str
-        The attempt and where it ran.
+        The attempt that returned it and the worker that the attempt ran on.
     body : bytes
-        What it returned.
+        The output itself.
     is_omitted : bool
-        Whether it was too large to record and is no longer kept.
+        Whether the output was too large for the journal and is no longer kept.
     """
 
     attempt_id: str
@@ -192,48 +193,54 @@
 
     @property
     def fits_in_journal(self) -> bool:
-        """Whether it is small enough to be recorded."""
+        """Whether the output is small enough to be written to the journal."""
         return len(self.body) <= MAX_ANSWER_IN_JOURNAL_BYTES
 
 
 @define(eq=False)
 class Task:
-    """One unit of a piece of work that runs on one worker.
+    """One task of a submission; it runs on one worker at a time.
 
     Attributes
     ----------
     task_id : str
         ``<work id>/<index>``.
     work : Work
-        The work it belongs to.
+        The work that it belongs to.
     state : TaskState
-        Where it stands.
+        Its state.
     attempt : Attempt or None
-        The attempt in hand.
+        The current attempt, or the last one once the task has ended; None while the
+        task is pending, and if it was cancelled before it started.
     attempts_made : int
-        Number of attempts of this epoch.
+        Number of attempts that this epoch planned.
     failures : int
         Number of attempts that ran and failed.
-    queued_at_s, started_at_s, eligible_at_s : float
-        Clock times at which it was queued, first ran, and may be placed again.
+    queued_at_s : float
+        Clock time at which it was queued.
+    started_at_s : float or None
+        Clock time at which its first attempt was confirmed to run.
+    eligible_at_s : float
+        Clock time from which it may be placed.
     acknowledged_at_s : float
-        Clock time at which its worker last confirmed the start.
+        Clock time at which its worker last confirmed that the attempt runs.
     failed_on : set of str
-        Workers that it failed on and should avoid.
+        Names of the workers that it failed on, which placement avoids.
     answer : TaskAnswer or None
-        What it returned.
+        Its output.
     stop_requested : bool
-        Whether its attempt was told to stop.
-    acknowledgement_due : bool
-        Whether the worker keeps the answer until the caller has it.
-    record_due : bool
-        Whether its end is recorded only once the caller has the answer, because the
-        answer is too large to record.
+        Whether its worker was ordered to stop the current attempt.
+    is_acknowledgement_deferred : bool
+        Whether the end is acknowledged to the worker only once the client's entry has
+        the answer; the worker keeps the answer until then.
+    is_end_record_deferred : bool
+        Whether the end is written to the journal only once the client's entry has the
+        answer, because the answer is too large for the journal.
     may_have_run : bool
-        Whether an attempt before the one in hand may have run.
+        Whether an attempt before the current one may have run.
     start_valid_until_s : float or None
-        Reading of the worker's clock after which a start that was sent, but not
-        answered, can no longer take effect.
+        Reading of the worker's clock after which a start order without a reply can no
+        longer take effect.
     """
 
     task_id: str
@@ -267,21 +274,21 @@
     Attributes
     ----------
     submission : Submission
-        What was submitted.
+        The submission.
     tasks : list of Task
         Its tasks.
     cancelled : bool
         Whether it was cancelled.
     refusal : Refusal or None
-        What is told of it if it did not succeed.
+        The error that is reported to the client if it did not succeed.
     ended_at_s : float or None
         Clock time at which its last task ended.
-    is_dormant : bool
-        Whether it is a request that was recovered from the record, and that starts
-        only if its caller's entry submits it again.
+    awaits_resubmission : bool
+        Whether it is a request that was recovered from the journal and starts only if
+        the client's entry submits it again.
     is_delivered : bool
-        Whether the entry of a request's caller has the result.
-    remaining : int
+        Whether the entry that the client of a request is connected to has the result.
+    unfinished_count : int
         Number of tasks that have not ended.
     """
 
@@ -301,7 +308,7 @@
 
 
 def make_work(submission: Submission, now_s: float) -> Work:
-    """Return the work of a submission with its tasks pending."""
+    """Return the work for a submission, with every task pending."""
     work = Work(submission, unfinished_count=submission.tasks)
     for index in range(submission.tasks):
         task_id = f"{submission.work_id}/{index}"
@@ -318,10 +325,10 @@
 
 
 def task_id_of(attempt_id: str) -> str:
-    """Return the task that an attempt belongs to."""
+    """Return the id of the task that an attempt belongs to."""
     return attempt_id.rpartition("#")[0]
 
 
 def work_id_of(task_id: str) -> str:
-    """Return the work that a task belongs to."""
+    """Return the id of the work that a task belongs to."""
     return task_id.rpartition("/")[0]
--- a/src/fuchsiadale/decision/work_registry.py
+++ b/src/fuchsiadale/decision/work_registry.py
@@ -1,4 +1,4 @@
-"""The book of a partition's accepted work."""
+"""Registry of the work that a partition has accepted."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     work_id_of,
 )
 
-_END_OF_STATE = {
+_END_BY_STATE = {
     TaskState.SUCCEEDED: AttemptEnd.SUCCEEDED,
     TaskState.FAILED: AttemptEnd.FAILED,
     TaskState.CANCELLED: AttemptEnd.STOPPED,
@@ -44,14 +44,14 @@
 
 @frozen
 class IdempotencyKey:
-    """An idempotency key, which belongs to one team."""
+    """An idempotency key in the scope of one team."""
 
     team: str
     key: str
 
 
 def planned_event(attempt: Attempt) -> Planned:
-    """Return the event that records an attempt."""
+    """Return the journal event that records a planned attempt."""
     return Planned(
         task_id=attempt.task_id,
         attempt_id=attempt.attempt_id,
@@ -62,16 +62,16 @@
 
 
 def ended_event(task: Task, state: TaskState, end: AttemptEnd) -> Ended:
-    """Return the event that records the end of a task's attempt.
+    """Return the journal event that records the end of a task's current attempt.
 
     Parameters
     ----------
     task : Task
-        The task, with the attempt that ended and its answer.
+        The task, which still holds the attempt that ended and its answer.
     state : TaskState
-        The task's state from here on.
+        State of the task after the attempt.
     end : AttemptEnd
-        How the attempt ended.
+        Outcome of the attempt.
     """
     attempt = task.attempt
     answer = task.answer
@@ -89,7 +89,7 @@
 
 
 class WorkRegistry:
-    """All work of a partition, by id and by idempotency key."""
+    """Finds the work of a partition by work id or by idempotency key."""
 
     def __init__(self) -> None:
         self._work_by_id: dict[str, Work] = {}
@@ -97,22 +97,23 @@
 
     @property
     def works(self) -> dict[str, Work]:
-        """The works by id."""
+        """All work by work id."""
         return self._work_by_id
 
     def find_duplicate(self, submission: Submission) -> Result[Work | None, Refusal]:
-        """Return the work that a repeated submission refers to.
+        """Return the accepted work that a submission repeats.
 
         Parameters
         ----------
         submission : Submission
-            A submission that may repeat an earlier one, by work id or by key.
+            A submission that may repeat an earlier one, with the same work id or the
+            same idempotency key.
 
         Returns
         -------
         Result
-            The earlier work, None if there is none, or a refusal with kind
-            ``KEY_REUSED`` if the key was used for something else.
+            The earlier work, or None if there is none. A refusal with kind
+            ``KEY_REUSED`` if the earlier submission with this key differs.
         """
         work = self._work_by_id.get(submission.work_id)
         if work is not None:
@@ -137,7 +138,7 @@
         return Ok(earlier)
 
     def add(self, submission: Submission, now_s: float) -> Work:
-        """Enter a submission."""
+        """Register a submission and return its work."""
         work = make_work(submission, now_s)
         self._work_by_id[submission.work_id] = work
         if submission.key:
@@ -146,7 +147,7 @@
         return work
 
     def discard(self, work: Work) -> None:
-        """Remove work as if it had never been entered."""
+        """Remove work as if it had never been registered."""
         submission = work.submission
         self._work_by_id.pop(submission.work_id, None)
         if submission.key:
@@ -155,7 +156,7 @@
             )
 
     def find_task(self, task_id: str) -> Task | None:
-        """Return the task with this id, if it is known."""
+        """Return the task with this id, or None if it is unknown."""
         work = self._work_by_id.get(work_id_of(task_id))
         if work is None:
             return None
@@ -163,14 +164,14 @@
         return work.tasks[index] if index < len(work.tasks) else None
 
     def find_task_by_current_attempt(self, attempt_id: str) -> Task | None:
-        """Return the task whose attempt in hand has this id."""
+        """Return the unfinished task whose current attempt has this id, if any."""
         task = self.find_task(task_id_of(attempt_id))
         if task is None or task.attempt is None or task.state.is_final:
             return None
         return task if task.attempt.attempt_id == attempt_id else None
 
     def has_unconfirmed_starts(self) -> bool:
-        """Tell whether an attempt is planned or sent, but not confirmed."""
+        """Tell whether any attempt is planned or sent, but not confirmed to run."""
         return any(
             task.state in (TaskState.PLACED, TaskState.STARTING)
             for work in self._work_by_id.values()
@@ -179,7 +180,7 @@
         )
 
     def finish_task(self, task: Task, state: TaskState, now_s: float) -> None:
-        """Put a task into a final state."""
+        """Put a task into a final state, unless it has ended already."""
         if task.state.is_final:
             return
         task.state = state
@@ -188,21 +189,21 @@
             task.work.ended_at_s = now_s
 
     def remove_expired(self, now_s: float) -> int:
-        """Drop work that ended long ago; return how much was dropped."""
-        old: list[Work] = []
+        """Remove work whose retention time is over; return the number removed."""
+        expired: list[Work] = []
         for work in self._work_by_id.values():
             if work.awaits_resubmission and _is_abandoned(work, now_s):
-                old.append(work)
+                expired.append(work)
             if work.ended_at_s is None:
                 continue
             if now_s - work.ended_at_s > _retention_s(work):
-                old.append(work)
-        for work in old:
+                expired.append(work)
+        for work in expired:
             self.discard(work)
-        return len(old)
+        return len(expired)
 
     def replay(self, event: JournalEvent, epoch: int, now_s: float) -> None:
-        """Apply a recorded event of an earlier owner.
+        """Apply a journal event of a former owner.
 
         Parameters
         ----------
@@ -211,7 +212,7 @@
         epoch : int
             The epoch of the new owner.
         now_s : float
-            The clock time that ages are counted from.
+            Clock time at which the replayed submissions and ends count as made.
         """
         match event:
             case Accepted(submission=submission):
@@ -228,7 +229,7 @@
                     work.refusal = refusal
 
     def snapshot_events(self) -> Iterator[JournalEvent]:
-        """Yield the events that lead to the present state."""
+        """Yield journal events whose replay restores the journalled work."""
         for work in self._work_by_id.values():
             if not work.submission.is_journalled:
                 continue
@@ -241,7 +242,7 @@
     def _snapshot_task(self, task: Task) -> Iterator[JournalEvent]:
         attempt = task.attempt
         if task.state.is_final:
-            yield ended_event(task, task.state, _END_OF_STATE[task.state])
+            yield ended_event(task, task.state, _END_BY_STATE[task.state])
         elif attempt is not None:
             yield planned_event(attempt)
 
@@ -267,8 +268,10 @@
         if task is None or task.state.is_final:
             return
         attempt = task.attempt
-        is_other = attempt is not None and attempt.attempt_id != event.attempt_id
-        if event.attempt_id and is_other:
+        is_other_attempt = (
+            attempt is not None and attempt.attempt_id != event.attempt_id
+        )
+        if event.attempt_id and is_other_attempt:
             return
         if event.state.is_final:
             task.work.refusal = event.refusal
@@ -284,7 +287,7 @@
 
 
 def _retention_s(work: Work) -> float:
-    """Return the seconds for which ended work may still be asked for."""
+    """Return for how many seconds after its end work is kept."""
     if work.submission.kind is not WorkKind.REQUEST:
         return JOB_RETENTION_S
     if work.is_delivered and not work.submission.key:
@@ -293,7 +296,7 @@
 
 
 def _is_abandoned(work: Work, now_s: float) -> bool:
-    """Tell whether nobody asked for a recovered request in time."""
+    """Tell whether a recovered request was not submitted again in time."""
     return all(
         task.attempt is None and now_s - task.queued_at_s > RESULT_RETENTION_S
         for task in work.tasks
