--- a/bench/contenders.py
+++ b/bench/contenders.py
@@ -81,7 +81,7 @@
 
     def release(self, attempt: Attempt) -> None:
         """Give back the room of an attempt that ended."""
-        self._ledger.release(attempt)
+        self._ledger.deallocate(attempt)
 
     def _choose(self, task: Task) -> Worker | None:
         need = task.submission.resources
--- a/src/fuchsiadale/decision/claims.py
+++ b/src/fuchsiadale/decision/claims.py
@@ -11,10 +11,11 @@
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.work import Task
 
-# Seconds after which a claim ends even if its task was not placed.
 CLAIM_DURATION_S = 60.0
-# Workers of the partition for each claim that may be held at the same time.
+"""Seconds after which a claim ends even if its task was not placed."""
+
 WORKERS_PER_CLAIM = 8
+"""Number of workers for each claim held at a time; one claim is always allowed."""
 
 
 @frozen
--- a/src/fuchsiadale/decision/fairness.py
+++ b/src/fuchsiadale/decision/fairness.py
@@ -11,8 +11,8 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.work import Task, WorkKind
 
-# Seconds of waiting time that ``OrderWeights.waiting`` is the weight of.
 WAITING_UNIT_S = 60.0
+"""Seconds in the unit of waiting time that ``OrderWeights.waiting`` weighs."""
 
 
 @frozen
--- a/src/fuchsiadale/decision/free_index.py
+++ b/src/fuchsiadale/decision/free_index.py
@@ -9,6 +9,7 @@
 from fuchsiadale.decision.resources import Resources
 
 CANDIDATES_PER_SIZE_CLASS = 16
+"""Number of workers that a lookup visits in each size class."""
 
 
 @frozen(order=True)
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -213,7 +213,7 @@
         worker.unallocated = worker.unallocated - attempt.resources
         self._reindex(worker)
 
-    def release(self, attempt: Attempt) -> bool:
+    def deallocate(self, attempt: Attempt) -> bool:
         """Release the resources of an attempt that has surely ended.
 
         Returns
--- a/src/fuchsiadale/decision/placement.py
+++ b/src/fuchsiadale/decision/placement.py
@@ -57,15 +57,19 @@
         Resources that the task requests.
     """
     capacity = worker.info.capacity
-    available = worker.available
-    cpu_left = (available.cpu_millis - demand.cpu_millis) / max(capacity.cpu_millis, 1)
-    memory_left = (available.memory_mb - demand.memory_mb) / max(capacity.memory_mb, 1)
+    available_amounts = worker.available
+    cpu_left = (available_amounts.cpu_millis - demand.cpu_millis) / max(
+        capacity.cpu_millis, 1
+    )
+    memory_left = (available_amounts.memory_mb - demand.memory_mb) / max(
+        capacity.memory_mb, 1
+    )
     score = abs(cpu_left - memory_left) + 0.5 * (cpu_left + memory_left)
     if capacity.accelerators > 0:
         if demand.accelerators == 0:
             score += ACCELERATOR_STRANDING_PENALTY
         else:
-            accelerators_left = available.accelerators - demand.accelerators
+            accelerators_left = available_amounts.accelerators - demand.accelerators
             score += accelerators_left / capacity.accelerators
     return score
 
--- a/src/fuchsiadale/decision/preemption.py
+++ b/src/fuchsiadale/decision/preemption.py
@@ -10,10 +10,11 @@
 from fuchsiadale.decision.ledger import Ledger, Worker
 from fuchsiadale.decision.work import Attempt, Priority, Task, WorkKind
 
-# Number of preemptible attempts, youngest first, whose workers are considered.
 MAX_SAMPLED_ATTEMPTS = 64
-# Seconds for which the worker of a planned preemption is held for the urgent task.
+"""Number of youngest preemptible attempts whose workers are considered."""
+
 HOLD_DURATION_S = 5.0
+"""Seconds for which the worker of a planned preemption is held for the urgent task."""
 
 
 @frozen
@@ -169,8 +170,8 @@
         now_s = self._clock.now()
         expired = [
             name
-            for name, hold in self._hold_by_worker.items()
-            if now_s >= hold.expires_s
+            for name, worker_hold in self._hold_by_worker.items()
+            if now_s >= worker_hold.expires_s
         ]
         for name in expired:
             hold = self._hold_by_worker.pop(name)
--- a/src/fuchsiadale/decision/resources.py
+++ b/src/fuchsiadale/decision/resources.py
@@ -125,4 +125,6 @@
 
 NO_RESOURCES = Resources()
 UNLIMITED_AMOUNT = 1 << 50
+"""Amount of a resource that stands for no limit."""
+
 NO_LIMIT = Resources(*[UNLIMITED_AMOUNT] * 5)
--- a/src/fuchsiadale/decision/scheduler.py
+++ b/src/fuchsiadale/decision/scheduler.py
@@ -188,7 +188,7 @@
             False if no resources were allocated to the attempt.
         """
         self._preemption.remove_running(attempt)
-        if not self._ledger.release(attempt):
+        if not self._ledger.deallocate(attempt):
             return False
         usage = self._usage_by_team[attempt.team]
         usage.local = usage.local - attempt.resources
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of test data, and a partition to run tests on."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 PARTITION = "general.0"
 SMALL_TASK_RESOURCES = Resources(1000, 1024, 0, 1, 1)
+"""Resources of a task that fits on an empty worker eight times."""
+
 WORKER_CAPACITY = Resources(8000, 16384, 0, 8, 64)
 
 
 def make_worker_info(
     index: int, capacity: Resources = WORKER_CAPACITY, fencing: bool = True
 ) -> WorkerInfo:
-    """Return a worker of the test pool."""
+    """Return the description of a worker of the test pool."""
     return WorkerInfo(
         name=f"worker-{index}",
         pool="general",
@@ -67,7 +69,7 @@
 
 
 class PartitionHarness:
-    """A partition whose workers are all adopted, on a clock of its own."""
+    """A partition with its own manual clock and with all workers adopted."""
 
     def __init__(
         self, workers: int = 3, capacity: Resources = WORKER_CAPACITY, epoch: int = 1
@@ -85,6 +87,6 @@
             self.reconciliation.adopted(name, report, self.clock.now())
 
     def advance(self, seconds: float) -> None:
-        """Let time pass while the member's lease is kept."""
+        """Advance the clock and renew the member lease."""
         self.clock.advance(seconds)
         self.authority.lease_renewed(self.clock.now())
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""Placement, order and preemption on one partition."""
+"""Placement, fair order, gang reservations and preemption in one partition."""
 
 from __future__ import annotations
 
@@ -18,189 +18,212 @@
 )
 from tests.builders import SMALL_TASK_RESOURCES, PartitionHarness, make_submission
 
-BIG = Resources(4000, 1024, 0, 1, 1)
-URGENT_START_S = 3.2
+HALF_WORKER_RESOURCES = Resources(4000, 1024, 0, 1, 1)
+"""Resources of a task that fits on an empty worker twice."""
 
+URGENT_START_LIMIT_S = 3.2
+"""Seconds within which an urgent task starts on a full fleet."""
 
-def run_all(bench: PartitionHarness, actions: Actions) -> list[str]:
-    """Let every start take effect; return the attempts."""
+
+def confirm_starts(harness: PartitionHarness, actions: Actions) -> list[str]:
+    """Confirm every start that may be sent; return the ids of its attempts."""
     started = []
     for attempt in actions.starts:
-        if bench.partition.mark_sent(attempt, 1e9):
-            bench.partition.mark_started(attempt.attempt_id)
+        if harness.partition.mark_sent(attempt, 1e9):
+            harness.partition.mark_started(attempt.attempt_id)
             started.append(attempt.attempt_id)
     return started
 
 
-def test_service_is_spread_over_failure_domains() -> None:
-    bench = PartitionHarness(workers=9)
-    bench.partition.accept(make_submission(1, WorkKind.SERVICE, tasks=6))
-    workers = [attempt.worker for attempt in bench.partition.step().starts]
-    ledger = bench.partition.ledger
-    domains = Counter(ledger.workers[name].info.failure_domain for name in workers)
-    assert set(domains.values()) == {2}
+def test_service_tasks_are_spread_over_failure_domains_and_workers() -> None:
+    harness = PartitionHarness(workers=9)
+    harness.partition.accept(make_submission(1, WorkKind.SERVICE, tasks=6))
+    workers = [attempt.worker for attempt in harness.partition.step().starts]
+    ledger = harness.partition.ledger
+    tasks_by_domain = Counter(
+        ledger.workers[name].info.failure_domain for name in workers
+    )
+    assert set(tasks_by_domain.values()) == {2}
     assert len(set(workers)) == 6
 
 
-def test_gang_starts_whole_or_not_at_all() -> None:
-    bench = PartitionHarness(workers=2)
-    bench.partition.accept(make_submission(1, WorkKind.BATCH, tasks=2, resources=BIG))
-    held = run_all(bench, bench.partition.step())
-    gang = make_submission(2, WorkKind.GANG, tasks=4, resources=BIG)
-    work = bench.partition.accept(gang).unwrap()
-    assert bench.partition.step().starts == []
-    bench.partition.mark_ended(held[0], AttemptEnd.SUCCEEDED)
-    assert bench.partition.step().starts == []
-    bench.partition.mark_ended(held[1], AttemptEnd.SUCCEEDED)
-    assert len(bench.partition.step().starts) == 4
+def test_gang_starts_only_when_all_its_tasks_fit() -> None:
+    harness = PartitionHarness(workers=2)
+    harness.partition.accept(
+        make_submission(1, WorkKind.BATCH, tasks=2, resources=HALF_WORKER_RESOURCES)
+    )
+    batch_attempts = confirm_starts(harness, harness.partition.step())
+    gang = make_submission(2, WorkKind.GANG, tasks=4, resources=HALF_WORKER_RESOURCES)
+    work = harness.partition.accept(gang).unwrap()
+    assert harness.partition.step().starts == []
+    harness.partition.mark_ended(batch_attempts[0], AttemptEnd.SUCCEEDED)
+    assert harness.partition.step().starts == []
+    harness.partition.mark_ended(batch_attempts[1], AttemptEnd.SUCCEEDED)
+    assert len(harness.partition.step().starts) == 4
     assert {task.state for task in work.tasks} == {TaskState.PLACED}
 
 
 def test_gang_is_not_starved_by_smaller_tasks() -> None:
-    bench = PartitionHarness(workers=2)
+    harness = PartitionHarness(workers=2)
     running: list[str] = []
     for number in range(16):
-        bench.partition.accept(make_submission(number, WorkKind.BATCH, team="harvest"))
-    running.extend(run_all(bench, bench.partition.step()))
+        harness.partition.accept(
+            make_submission(number, WorkKind.BATCH, team="harvest")
+        )
+    running.extend(confirm_starts(harness, harness.partition.step()))
     gang = make_submission(
         100, WorkKind.GANG, tasks=2, resources=Resources(8000, 1, 0, 1)
     )
-    work = bench.partition.accept(gang).unwrap()
+    work = harness.partition.accept(gang).unwrap()
     for number in range(200, 260):
-        bench.partition.accept(make_submission(number, WorkKind.BATCH, team="harvest"))
-        bench.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
-        bench.advance(0.5)
-        running.extend(run_all(bench, bench.partition.step()))
+        harness.partition.accept(
+            make_submission(number, WorkKind.BATCH, team="harvest")
+        )
+        harness.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
+        harness.advance(0.5)
+        running.extend(confirm_starts(harness, harness.partition.step()))
         if work.tasks[0].state is not TaskState.PENDING:
             break
     assert {task.state for task in work.tasks} == {TaskState.RUNNING}
 
 
-def test_cancelled_gang_gives_its_reservation_up_at_once() -> None:
-    bench = PartitionHarness(workers=1)
-    bench.partition.accept(
+def test_cancelled_gang_drops_its_reservation_at_once() -> None:
+    harness = PartitionHarness(workers=1)
+    harness.partition.accept(
         make_submission(1, WorkKind.BATCH, resources=SMALL_TASK_RESOURCES)
     )
-    run_all(bench, bench.partition.step())
-    whole = Resources(8000, 1, 0, 1)
-    gang = bench.partition.accept(
-        make_submission(2, WorkKind.GANG, resources=whole)
+    confirm_starts(harness, harness.partition.step())
+    whole_worker = Resources(8000, 1, 0, 1)
+    gang = harness.partition.accept(
+        make_submission(2, WorkKind.GANG, resources=whole_worker)
     ).unwrap()
-    bench.partition.step()
-    bench.partition.accept(
+    harness.partition.step()
+    harness.partition.accept(
         make_submission(3, WorkKind.BATCH, resources=SMALL_TASK_RESOURCES)
     )
-    assert bench.partition.step().starts == []
-    bench.partition.cancel(gang, Refusal(ErrorKind.CANCELLED, "cancelled"))
-    assert len(bench.partition.step().starts) == 1
+    assert harness.partition.step().starts == []
+    harness.partition.cancel(gang, Refusal(ErrorKind.CANCELLED, "cancelled"))
+    assert len(harness.partition.step().starts) == 1
 
 
 def test_two_gangs_do_not_block_each_other() -> None:
-    bench = PartitionHarness(workers=2)
+    harness = PartitionHarness(workers=2)
     gangs = [
-        bench.partition.accept(
-            make_submission(number, WorkKind.GANG, tasks=3, resources=BIG)
+        harness.partition.accept(
+            make_submission(
+                number, WorkKind.GANG, tasks=3, resources=HALF_WORKER_RESOURCES
+            )
         ).unwrap()
         for number in (1, 2)
     ]
     for _ in range(4):
-        started = run_all(bench, bench.partition.step())
+        started = confirm_starts(harness, harness.partition.step())
         for attempt_id in started:
-            bench.partition.mark_ended(attempt_id, AttemptEnd.SUCCEEDED)
-        bench.advance(31.0)
+            harness.partition.mark_ended(attempt_id, AttemptEnd.SUCCEEDED)
+        harness.advance(31.0)
     assert all(gang.is_final for gang in gangs)
 
 
-def test_gang_that_loses_a_task_starts_anew_together() -> None:
-    bench = PartitionHarness(workers=3)
-    gang = make_submission(1, WorkKind.GANG, tasks=3, resources=BIG)
-    work = bench.partition.accept(gang).unwrap()
-    first, second, third = run_all(bench, bench.partition.step())
-    bench.partition.mark_ended(first, AttemptEnd.LOST)
-    bench.advance(1.0)
-    actions = bench.partition.step()
+def test_gang_that_loses_a_task_restarts_all_tasks_together() -> None:
+    harness = PartitionHarness(workers=3)
+    gang = make_submission(1, WorkKind.GANG, tasks=3, resources=HALF_WORKER_RESOURCES)
+    work = harness.partition.accept(gang).unwrap()
+    first, second, third = confirm_starts(harness, harness.partition.step())
+    harness.partition.mark_ended(first, AttemptEnd.LOST)
+    harness.advance(1.0)
+    actions = harness.partition.step()
     assert actions.starts == []
     assert {order.attempt_id for order in actions.stops} == {second, third}
     for attempt_id in (second, third):
-        bench.partition.mark_ended(attempt_id, AttemptEnd.STOPPED)
-    bench.advance(1.0)
-    assert len(bench.partition.step().starts) == 3
+        harness.partition.mark_ended(attempt_id, AttemptEnd.STOPPED)
+    harness.advance(1.0)
+    assert len(harness.partition.step().starts) == 3
     assert {task.state for task in work.tasks} == {TaskState.PLACED}
 
 
 def test_urgent_work_starts_in_time_on_a_full_fleet() -> None:
-    bench = PartitionHarness(workers=3)
-    bench.partition.accept(make_submission(1, WorkKind.BATCH, tasks=24))
-    run_all(bench, bench.partition.step())
+    harness = PartitionHarness(workers=3)
+    harness.partition.accept(make_submission(1, WorkKind.BATCH, tasks=24))
+    confirm_starts(harness, harness.partition.step())
     urgent = make_submission(
-        2, WorkKind.BATCH, team="harvest", resources=BIG, priority=Priority.URGENT
+        2,
+        WorkKind.BATCH,
+        team="harvest",
+        resources=HALF_WORKER_RESOURCES,
+        priority=Priority.URGENT,
     )
-    work = bench.partition.accept(urgent).unwrap()
-    began_s = bench.clock.now()
-    stops = bench.partition.step().stops
+    work = harness.partition.accept(urgent).unwrap()
+    submitted_at_s = harness.clock.now()
+    stops = harness.partition.step().stops
     assert len(stops) == 4
     assert len({order.worker for order in stops}) == 1
     assert all(order.checkpoint for order in stops)
-    bench.advance(0.5)
+    harness.advance(0.5)
     for order in stops:
-        bench.partition.mark_ended(order.attempt_id, AttemptEnd.STOPPED)
-    run_all(bench, bench.partition.step())
+        harness.partition.mark_ended(order.attempt_id, AttemptEnd.STOPPED)
+    confirm_starts(harness, harness.partition.step())
     assert work.tasks[0].state is TaskState.RUNNING
-    assert bench.clock.now() - began_s <= URGENT_START_S
-
-
-def test_worker_that_went_before_it_was_blamed_is_no_trouble() -> None:
-    bench = PartitionHarness(workers=2)
-    gone = "worker-0"
-    works = [bench.partition.accept(make_submission(n)).unwrap() for n in range(3)]
-    for attempt_id in run_all(bench, bench.partition.step()):
-        bench.partition.mark_ended(attempt_id, AttemptEnd.FAILED)
-        gone = works[0].tasks[0].failed_worker_names.copy().pop()
-    bench.partition.ledger.remove(gone)
-    bench.advance(1.0)
-    for attempt_id in run_all(bench, bench.partition.step()):
-        bench.partition.mark_ended(attempt_id, AttemptEnd.SUCCEEDED)
+    assert harness.clock.now() - submitted_at_s <= URGENT_START_LIMIT_S
+
+
+def test_success_after_failure_on_removed_worker_finishes_the_work() -> None:
+    harness = PartitionHarness(workers=2)
+    removed_worker = "worker-0"
+    works = [harness.partition.accept(make_submission(n)).unwrap() for n in range(3)]
+    for attempt_id in confirm_starts(harness, harness.partition.step()):
+        harness.partition.mark_ended(attempt_id, AttemptEnd.FAILED)
+        removed_worker = works[0].tasks[0].failed_worker_names.copy().pop()
+    harness.partition.ledger.remove(removed_worker)
+    harness.advance(1.0)
+    for attempt_id in confirm_starts(harness, harness.partition.step()):
+        harness.partition.mark_ended(attempt_id, AttemptEnd.SUCCEEDED)
     assert all(work.is_final for work in works)
 
 
 def test_work_that_is_not_idempotent_is_never_preempted() -> None:
-    bench = PartitionHarness(workers=1)
-    bench.partition.accept(
+    harness = PartitionHarness(workers=1)
+    harness.partition.accept(
         make_submission(1, WorkKind.BATCH, tasks=8, idempotent=False)
     )
-    run_all(bench, bench.partition.step())
-    bench.partition.accept(make_submission(2, WorkKind.BATCH, priority=Priority.URGENT))
-    assert bench.partition.step().stops == []
+    confirm_starts(harness, harness.partition.step())
+    harness.partition.accept(
+        make_submission(2, WorkKind.BATCH, priority=Priority.URGENT)
+    )
+    assert harness.partition.step().stops == []
 
 
 def test_teams_on_a_full_fleet_converge_to_their_shares() -> None:
-    bench = PartitionHarness(workers=5)
-    scheduler = bench.partition.scheduler
+    harness = PartitionHarness(workers=5)
+    scheduler = harness.partition.scheduler
     scheduler.set_share("guild", 3.0)
     scheduler.set_share("harvest", 1.0)
     for number in range(400):
         team = "harvest" if number % 2 else "guild"
-        bench.partition.accept(make_submission(number, WorkKind.BATCH, team=team))
-    running = run_all(bench, bench.partition.step())
+        harness.partition.accept(make_submission(number, WorkKind.BATCH, team=team))
+    running = confirm_starts(harness, harness.partition.step())
     for _ in range(150):
-        bench.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
-        running.extend(run_all(bench, bench.partition.step()))
+        harness.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
+        running.extend(confirm_starts(harness, harness.partition.step()))
     used = {team: usage.local.slots for team, usage in scheduler.usage.items()}
     assert used == {"guild": 30, "harvest": 10}
 
 
-def test_large_task_of_a_team_below_its_share_gets_room() -> None:
-    bench = PartitionHarness(workers=8)
+def test_large_task_of_a_team_below_its_share_is_placed() -> None:
+    harness = PartitionHarness(workers=8)
     for number in range(64):
-        bench.partition.accept(make_submission(number, WorkKind.BATCH, team="harvest"))
-    running = run_all(bench, bench.partition.step())
+        harness.partition.accept(
+            make_submission(number, WorkKind.BATCH, team="harvest")
+        )
+    running = confirm_starts(harness, harness.partition.step())
     large = make_submission(999, WorkKind.BATCH, resources=Resources(8000, 1, 0, 1))
-    work = bench.partition.accept(large).unwrap()
+    work = harness.partition.accept(large).unwrap()
     for number in range(1000, 1100):
-        bench.partition.accept(make_submission(number, WorkKind.BATCH, team="harvest"))
-        bench.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
-        bench.advance(0.2)
-        running.extend(run_all(bench, bench.partition.step()))
+        harness.partition.accept(
+            make_submission(number, WorkKind.BATCH, team="harvest")
+        )
+        harness.partition.mark_ended(running.pop(0), AttemptEnd.SUCCEEDED)
+        harness.advance(0.2)
+        running.extend(confirm_starts(harness, harness.partition.step()))
     assert work.tasks[0].state is TaskState.RUNNING
 
 
@@ -216,10 +239,10 @@
         max_size=80,
     )
 )
-def test_no_worker_is_given_more_than_it_has_room_for(
+def test_allocations_never_exceed_the_capacity_of_a_worker(
     steps: list[tuple[str, WorkKind, int, int]],
 ) -> None:
-    bench = PartitionHarness(workers=3)
+    harness = PartitionHarness(workers=3)
     running: list[str] = []
     ends = {
         "succeed": AttemptEnd.SUCCEEDED,
@@ -227,31 +250,31 @@
         "lose": AttemptEnd.LOST,
         "refuse": AttemptEnd.NOT_RUN,
     }
-    for number, (action, kind, size, pick) in enumerate(steps):
+    for number, (action, kind, size, selector) in enumerate(steps):
         if action == "submit":
-            need = SMALL_TASK_RESOURCES.times(size)
+            demand = SMALL_TASK_RESOURCES.times(size)
             tasks = 1 if kind is WorkKind.REQUEST else size
-            submission = make_submission(number, kind, resources=need, tasks=tasks)
-            bench.partition.accept(submission)
+            submission = make_submission(number, kind, resources=demand, tasks=tasks)
+            harness.partition.accept(submission)
         elif action == "cancel":
-            works = list(bench.partition.work_registry.works.values())
+            works = list(harness.partition.work_registry.works.values())
             if works:
-                work = works[pick % len(works)]
-                refusal = bench.partition.accept(
+                work = works[selector % len(works)]
+                refusal = harness.partition.accept(
                     make_submission(0, resources=SMALL_TASK_RESOURCES.times(99))
                 )
                 if refusal.is_err():
-                    bench.partition.cancel(work, refusal.unwrap_err())
+                    harness.partition.cancel(work, refusal.unwrap_err())
         elif running:
-            bench.partition.mark_ended(
-                running.pop(pick % len(running)), ends[action], b"x"
+            harness.partition.mark_ended(
+                running.pop(selector % len(running)), ends[action], b"x"
             )
-        bench.advance(0.3)
-        actions = bench.partition.step()
-        running.extend(run_all(bench, actions))
+        harness.advance(0.3)
+        actions = harness.partition.step()
+        running.extend(confirm_starts(harness, actions))
         for order in actions.stops:
-            bench.partition.mark_ended(order.attempt_id, AttemptEnd.STOPPED)
-        for worker in bench.partition.ledger.workers.values():
+            harness.partition.mark_ended(order.attempt_id, AttemptEnd.STOPPED)
+        for worker in harness.partition.ledger.workers.values():
             assert worker.allocated.fits_in(worker.info.capacity)
-            charged = sum(a.resources.slots for a in worker.attempts.values())
-            assert charged == worker.allocated.slots
+            allocated_slots = sum(a.resources.slots for a in worker.attempts.values())
+            assert allocated_slots == worker.allocated.slots
