--- a/src/fuchsiadale/decision/admission.py
+++ b/src/fuchsiadale/decision/admission.py
@@ -40,7 +40,7 @@
     if max_concurrent_tasks >= submission.tasks:
         return None
     message = (
-        f"the workers hold at most {max_concurrent_tasks} such tasks at once,"
-        f" the gang has {submission.tasks}"
+        f"the workers can run at most {max_concurrent_tasks} such tasks at once,"
+        f" but the gang has {submission.tasks}"
     )
     return Refusal(ErrorKind.INFEASIBLE, message)
--- a/src/fuchsiadale/decision/claims.py
+++ b/src/fuchsiadale/decision/claims.py
@@ -15,7 +15,7 @@
 """Seconds after which a claim ends even if its task was not placed."""
 
 WORKERS_PER_CLAIM = 8
-"""Number of workers for each claim held at a time; one claim is always allowed."""
+"""Number of workers for each permitted claim; one claim is always permitted."""
 
 
 @frozen
@@ -49,7 +49,7 @@
 
     @property
     def is_below_limit(self) -> bool:
-        """Whether there are fewer claims than may be held at the same time."""
+        """Whether the number of claims is below its limit."""
         limit = max(1, len(self._ledger.workers) // WORKERS_PER_CLAIM)
         return len(self._claim_by_worker) < limit
 
--- a/src/fuchsiadale/decision/fairness.py
+++ b/src/fuchsiadale/decision/fairness.py
@@ -42,7 +42,7 @@
         resources are scarce.
     local : Resources
         Resources allocated to the team in this partition.
-    remote_share : float
+    remote_dominant_share : float
         Dominant share of the fleet that the team uses in other partitions.
     """
 
@@ -58,7 +58,7 @@
 
 @frozen
 class TaskGroupKey:
-    """Identifies a group of a team's tasks that are equivalent for placement.
+    """Identifies a group of pending tasks that are equivalent for placement.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
     resources : Resources
         Resources that each task requests.
     gang_id : str
-        Work id if the tasks are a gang, else empty.
+        Work id of the gang that the tasks form; empty for other tasks.
     """
 
     kind: WorkKind
--- a/src/fuchsiadale/decision/free_index.py
+++ b/src/fuchsiadale/decision/free_index.py
@@ -81,8 +81,8 @@
 class AvailabilityIndex:
     """Finds workers whose available resources may fit a task, smallest first.
 
-    A lookup visits at most `CANDIDATES_PER_CLASS` workers of each size class, so its
-    cost depends on the number of classes in use and not on the number of workers.
+    A lookup visits at most `CANDIDATES_PER_SIZE_CLASS` workers of each size class, so
+    its cost depends on the number of classes in use and not on the number of workers.
     """
 
     def __init__(self) -> None:
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -49,7 +49,23 @@
 
 
 class WorkerState(Enum):
-    """The state of a worker, which decides whether new tasks may be placed on it."""
+    """The state of a worker; new tasks are placed only on workers in ``READY``.
+
+    Attributes
+    ----------
+    ADOPTING
+        The worker has not yet accepted the epoch of the partition's owner.
+    READY
+        The worker takes new tasks.
+    LEAVING
+        The worker is about to leave the pool.
+    QUARANTINED
+        The worker takes no new tasks for some time, since attempts failed on it.
+    SILENT
+        The worker has stopped answering heartbeats.
+    GONE
+        The worker has left the host list.
+    """
 
     ADOPTING = "adopting"
     READY = "ready"
@@ -124,8 +140,8 @@
     """All workers of one partition, with the resources allocated on each.
 
     Resources are allocated when an attempt is planned and released only once the
-    attempt has surely ended. So the attempts that may run on a worker never exceed
-    its capacity together.
+    attempt has surely ended. So the attempts that may run on a worker together never
+    take more than its capacity.
     """
 
     def __init__(self) -> None:
--- a/src/fuchsiadale/decision/placement.py
+++ b/src/fuchsiadale/decision/placement.py
@@ -57,19 +57,15 @@
         Resources that the task requests.
     """
     capacity = worker.info.capacity
-    available_amounts = worker.available
-    cpu_left = (available_amounts.cpu_millis - demand.cpu_millis) / max(
-        capacity.cpu_millis, 1
-    )
-    memory_left = (available_amounts.memory_mb - demand.memory_mb) / max(
-        capacity.memory_mb, 1
-    )
+    unused = worker.available
+    cpu_left = (unused.cpu_millis - demand.cpu_millis) / max(capacity.cpu_millis, 1)
+    memory_left = (unused.memory_mb - demand.memory_mb) / max(capacity.memory_mb, 1)
     score = abs(cpu_left - memory_left) + 0.5 * (cpu_left + memory_left)
     if capacity.accelerators > 0:
         if demand.accelerators == 0:
             score += ACCELERATOR_STRANDING_PENALTY
         else:
-            accelerators_left = available_amounts.accelerators - demand.accelerators
+            accelerators_left = unused.accelerators - demand.accelerators
             score += accelerators_left / capacity.accelerators
     return score
 
@@ -112,8 +108,8 @@
     ) -> Worker | None:
         """Return a worker in the failure domain with the fewest of the work's tasks.
 
-        Within the domain, the worker has the fewest of them, too. Failure domains
-        without a suitable worker are skipped.
+        Of the suitable workers sampled there, it has the fewest of these tasks.
+        Failure domains without a suitable worker are skipped.
         """
         siblings_by_domain: Counter[str] = Counter()
         siblings_by_worker: Counter[str] = Counter()
--- a/src/fuchsiadale/decision/scheduler.py
+++ b/src/fuchsiadale/decision/scheduler.py
@@ -48,7 +48,7 @@
 
 @frozen
 class Placement:
-    """A task and the attempt that resources were allocated to for it."""
+    """A task and the attempt that was planned for it."""
 
     task: Task
     attempt: Attempt
--- a/src/fuchsiadale/decision/work.py
+++ b/src/fuchsiadale/decision/work.py
@@ -12,7 +12,19 @@
 
 
 class WorkKind(Enum):
-    """The kinds of work, each of which has a placement policy."""
+    """The kinds of work, each of which has a placement policy.
+
+    Attributes
+    ----------
+    REQUEST
+        One task whose result a client waits for.
+    BATCH
+        Tasks that run independently of each other.
+    GANG
+        Tasks that start at the same time or not at all.
+    SERVICE
+        Long-running tasks that are spread over failure domains.
+    """
 
     REQUEST = "request"
     BATCH = "batch"
@@ -28,7 +40,23 @@
 
 
 class TaskState(Enum):
-    """The state of a task in its life cycle."""
+    """The state of a task in its life cycle.
+
+    Attributes
+    ----------
+    PENDING
+        No attempt is planned.
+    PLACED
+        An attempt is planned on a worker, and its resources are allocated.
+    STARTING
+        The start order may have been sent, and the worker has not confirmed it.
+    RUNNING
+        The worker confirmed that the attempt runs.
+    SUCCEEDED, FAILED, CANCELLED
+        The task ended in this way.
+    UNKNOWN
+        The task was started, and its outcome cannot be determined.
+    """
 
     PENDING = "pending"
     PLACED = "placed"
@@ -41,7 +69,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether this state never changes again."""
+        """Whether a task in this state has ended and never changes its state again."""
         return self in _FINAL_STATES
 
 
@@ -56,7 +84,19 @@
 
 
 class AttemptEnd(Enum):
-    """The outcome of an attempt to run a task."""
+    """The outcome of an attempt to run a task.
+
+    Attributes
+    ----------
+    SUCCEEDED, FAILED
+        The program succeeded or failed.
+    STOPPED
+        The attempt was stopped before the program finished.
+    NOT_RUN
+        The attempt never ran and never will.
+    LOST
+        The attempt runs no more, and whether it ran is unknown.
+    """
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -224,7 +264,7 @@
         Clock time from which it may be placed.
     acknowledged_at_s : float
         Clock time at which its worker last confirmed that the attempt runs.
-    failed_on : set of str
+    failed_worker_names : set of str
         Names of the workers that it failed on, which placement avoids.
     answer : TaskAnswer or None
         Its output.
