--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -9,7 +9,7 @@
 from attrs import frozen
 from transitions import Machine
 
-from fuchsiadale.decision.free_index import AvailabilityIndex
+from fuchsiadale.decision.availability_index import AvailabilityIndex
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.work import Attempt
 
