--- a/src/fuchsiadale/decision/admission.py
+++ b/src/fuchsiadale/decision/admission.py
@@ -10,7 +10,7 @@
 
 
 def check_admission(
-    submission: Submission, ledger: Ledger, pending_count: int
+    submission: Submission, ledger: Ledger, queued_count: int
 ) -> Refusal | None:
     """Return the refusal of a submission, or None if it is admitted.
 
@@ -22,12 +22,16 @@
         The submission to check.
     ledger : Ledger
         Ledger of the partition's workers.
-    pending_count : int
+    queued_count : int
         Number of tasks in the queue.
     """
-    if pending_count + submission.tasks > MAX_QUEUED_TASKS:
-        return Refusal(ErrorKind.QUEUE_FULL, "the partition's queue is full")
-    if not ledger.fits_any_empty_worker(submission.resources):
+    if queued_count + submission.tasks > MAX_QUEUED_TASKS:
+        return Refusal(
+            ErrorKind.QUEUE_FULL,
+            f"the partition's queue holds {queued_count} tasks;"
+            f" {submission.tasks} more would exceed {MAX_QUEUED_TASKS}",
+        )
+    if not ledger.fits_capacity_of_any_worker(submission.resources):
         message = "no worker of the pool is large enough for one task"
         return Refusal(ErrorKind.INFEASIBLE, message)
     if submission.kind is not WorkKind.GANG:
--- a/src/fuchsiadale/decision/availability_index.py
+++ b/src/fuchsiadale/decision/availability_index.py
@@ -9,7 +9,7 @@
 from fuchsiadale.decision.resources import Resources
 
 CANDIDATES_PER_SIZE_CLASS = 16
-"""Number of workers that a lookup visits in each size class."""
+"""Maximum number of workers that a lookup visits in each size class."""
 
 
 @frozen(order=True)
@@ -30,8 +30,8 @@
     cpu: int
     memory: int
 
-    def may_fit(self, other: SizeClass) -> bool:
-        """Tell whether a vector of class `other` may fit into one of this class."""
+    def may_contain(self, other: SizeClass) -> bool:
+        """Tell whether a vector of this class may contain one of class `other`."""
         return (
             self.accelerators >= other.accelerators
             and self.cpu >= other.cpu
@@ -68,6 +68,7 @@
             self.positions[last] = position
 
     def next_sample(self, count: int) -> Iterator[str]:
+        """Yield up to `count` names, starting after the previous sample."""
         size = len(self.names)
         if size <= count:
             yield from list(self.names)
@@ -79,7 +80,7 @@
 
 
 class AvailabilityIndex:
-    """Finds workers whose available resources may fit a task, smallest first.
+    """Finds workers whose available resources may be enough for a task.
 
     A lookup visits at most `CANDIDATES_PER_SIZE_CLASS` workers of each size class, so
     its cost depends on the number of classes in use and not on the number of workers.
@@ -118,10 +119,14 @@
             self._sorted_classes = sorted(self._bucket_by_class)
 
     def candidate_batches(self, demand: Resources) -> Iterator[list[str]]:
-        """Yield a sample of workers from each size class that may fit, in order."""
+        """Yield a sample of workers from each size class that may contain `demand`.
+
+        The classes are in ascending order of accelerators, then processors, then
+        memory.
+        """
         demand_class = size_class_of(demand)
         for size_class in list(self._sorted_classes):
-            if not size_class.may_fit(demand_class):
+            if not size_class.may_contain(demand_class):
                 continue
             bucket = self._bucket_by_class.get(size_class)
             if bucket is not None:
--- a/src/fuchsiadale/decision/claims.py
+++ b/src/fuchsiadale/decision/claims.py
@@ -15,7 +15,7 @@
 """Seconds after which a claim ends even if its task was not placed."""
 
 WORKERS_PER_CLAIM = 8
-"""Number of workers for each permitted claim; one claim is always permitted."""
+"""A partition may hold one claim per this number of workers, and at least one."""
 
 
 @frozen
@@ -101,7 +101,10 @@
     def _find_closest_fit(
         self, demand: Resources, is_allowed: Callable[[Worker], bool]
     ) -> Worker | None:
-        """Return the unclaimed worker that lacks the least of `demand`, if any."""
+        """Return the worker that lacks the least of `demand` now, if any.
+
+        It is ready, unclaimed and allowed, and its capacity is enough for `demand`.
+        """
         best = None
         least_shortfall = 0.0
         for worker in self._ledger.workers.values():
--- a/src/fuchsiadale/decision/delayed.py
+++ b/src/fuchsiadale/decision/delayed.py
@@ -12,7 +12,7 @@
 
 @frozen(order=True)
 class _DelayedTask:
-    """Heap item: a task with its sort key."""
+    """Orders a task in the heap by the time from which it may be placed."""
 
     eligible_at_s: float
     sequence: int
@@ -22,7 +22,8 @@
 class DelayedTasks:
     """Tasks in the order of the clock times from which they may be placed.
 
-    A discarded task stays in the heap and is skipped when it becomes due.
+    The heap item of a discarded task is skipped when it becomes due, unless the task
+    was added again before.
     """
 
     def __init__(self) -> None:
--- a/src/fuchsiadale/decision/fairness.py
+++ b/src/fuchsiadale/decision/fairness.py
@@ -12,19 +12,21 @@
 from fuchsiadale.decision.work import Task, WorkKind
 
 WAITING_UNIT_S = 60.0
-"""Seconds in the unit of waiting time that ``OrderWeights.waiting`` weighs."""
+"""Seconds per minute, the unit of time that ``OrderWeights.waiting`` applies to."""
 
 
 @frozen
 class OrderWeights:
-    """Weights of usage and waiting time in the order of the teams.
+    """Weights of usage and waiting time when teams are sorted.
 
     Attributes
     ----------
     share : float
-        Weight of a team's dominant share of the capacity divided by its share.
+        Weight of a team's usage, which is its dominant share of the capacity divided
+        by the share that is configured for the team.
     waiting : float
-        Weight of each minute that a team's oldest task has been queued.
+        Weight of each minute since the earliest time at which the first task of any of
+        the team's groups was queued.
     """
 
     share: float = 1.0
@@ -38,8 +40,8 @@
     Attributes
     ----------
     share : float
-        Share of the team relative to the shares of other teams; it decides once
-        resources are scarce.
+        Configured weight of the team relative to other teams. It has an effect only
+        while the pending tasks of all teams do not fit at once.
     local : Resources
         Resources allocated to the team in this partition.
     remote_dominant_share : float
@@ -51,7 +53,13 @@
     remote_dominant_share: float = 0.0
 
     def weighted_dominant_share(self, total: Resources) -> float:
-        """Return the dominant share of `total` in use, divided by the team's share."""
+        """Return the team's dominant share of all partitions, divided by its share.
+
+        Parameters
+        ----------
+        total : Resources
+            Capacity that the dominant share in this partition is computed from.
+        """
         usage = self.local.dominant_share(total) + self.remote_dominant_share
         return usage / self.share
 
@@ -89,7 +97,7 @@
     group_by_key: dict[TaskGroupKey, deque[Task]] = field(factory=dict)
     version: int = 0
 
-    def oldest_queued_at_s(self) -> float:
+    def earliest_head_queued_at_s(self) -> float:
         return min(group[0].queued_at_s for group in self.group_by_key.values())
 
 
@@ -98,9 +106,10 @@
 
     The team with the lowest sort key comes first. The key of a team is
     ``weights.share * usage / share + weights.waiting * t``, where ``usage`` is its
-    dominant share of the capacity and ``t`` the time in minutes at which its oldest
-    task was queued. Waiting time would subtract the current time, which is the same
-    for all teams and so does not change the order. After Ghodsi et al., "Dominant
+    dominant share of the capacity and ``t`` the earliest time, in minutes, at which the
+    first task of any of its groups was queued. The key uses the queue time instead of
+    the waiting time: the current time is the same for all teams, so leaving it out does
+    not change the order. After Ghodsi et al., "Dominant
     Resource Fairness", NSDI 2011.
 
     Parameters
@@ -165,13 +174,13 @@
             del self._queue_by_team[team]
 
     def reorder_team(self, team: str) -> None:
-        """Recompute the sort key of a team after its usage or oldest task changed."""
+        """Recompute the sort key of a team after its usage, share or groups changed."""
         queue = self._queue_by_team.get(team)
         if queue is None:
             return
         usage = self._usage.setdefault(team, TeamUsage())
         key = self.weights.share * usage.weighted_dominant_share(self._total_capacity)
-        key += self.weights.waiting * queue.oldest_queued_at_s() / WAITING_UNIT_S
+        key += self.weights.waiting * queue.earliest_head_queued_at_s() / WAITING_UNIT_S
         self._last_version += 1
         queue.version = self._last_version
         heapq.heappush(self._team_heap, (key, self._last_version, team, queue.version))
@@ -196,7 +205,10 @@
                     heapq.heappush(self._team_heap, entry)
 
     def group_heads(self, team: str) -> list[tuple[TaskGroupKey, Task]]:
-        """Return the oldest task of each of a team's groups, oldest first."""
+        """Return the first task in the queue of each of a team's groups.
+
+        They are sorted by the times at which their work was accepted.
+        """
         queue = self._queue_by_team.get(team)
         if queue is None:
             return []
@@ -205,14 +217,14 @@
             heads.sort(key=lambda head: head[1].queued_at_s)
         return heads
 
-    def pending_tasks(self) -> Iterator[Task]:
-        """Yield every pending task."""
+    def queued_tasks(self) -> Iterator[Task]:
+        """Yield every queued task."""
         for queue in self._queue_by_team.values():
             for group in queue.group_by_key.values():
                 yield from group
 
     def group_tasks(self, team: str, key: TaskGroupKey) -> list[Task]:
-        """Return the pending tasks of one group, oldest first."""
+        """Return the queued tasks of one group, in queue order."""
         queue = self._queue_by_team.get(team)
         if queue is None or key not in queue.group_by_key:
             return []
--- a/src/fuchsiadale/decision/grants.py
+++ b/src/fuchsiadale/decision/grants.py
@@ -80,7 +80,7 @@
     if not granted.fits_in(limit):
         allowed = granted.minimum(limit)
         for partition, grant in row.grants.items():
-            ceilings[partition] = grant.scaled_down(allowed, granted)
+            ceilings[partition] = grant.scaled_by_ratio(allowed, granted)
     return Ok(
         TeamGrants(
             limit=limit,
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -31,7 +31,7 @@
     rack : str
         Rack that it is installed in.
     capacity : Resources
-        Resources that it can allocate to tasks.
+        Total resources that can be allocated to tasks on it.
     leaving : bool
         Whether it is about to leave the pool.
     fencing : bool
@@ -127,7 +127,7 @@
 
     @property
     def available(self) -> Resources:
-        """Resources that are neither allocated nor overused by running tasks."""
+        """Unallocated resources, less what tasks use beyond their allocations."""
         return self.unallocated - self.overuse
 
     @property
@@ -140,8 +140,9 @@
     """All workers of one partition, with the resources allocated on each.
 
     Resources are allocated when an attempt is planned and released only once the
-    attempt has surely ended. So the attempts that may run on a worker together never
-    take more than its capacity.
+    attempt is known to have ended. So placement never allocates more than a worker's
+    capacity to the attempts that may run on it at the same time; only a lowered
+    capacity or an adopted attempt can exceed it.
     """
 
     def __init__(self) -> None:
@@ -170,7 +171,10 @@
 
     @property
     def failure_domains(self) -> list[str]:
-        """Sorted names of the failure domains that have had a schedulable worker."""
+        """Sorted names of all failure domains that ever had a schedulable worker.
+
+        A domain stays listed when its workers leave.
+        """
         return sorted(self._index_by_domain)
 
     def add_or_update(self, info: WorkerInfo) -> Worker:
@@ -203,7 +207,8 @@
         name : str
             Name of the worker.
         event : str
-            Name of the trigger; one that the present state lacks has no effect.
+            Name of the trigger. It has no effect without a transition from the
+            present state.
         """
         worker = self._worker_by_name[name]
         before = worker.state
@@ -230,7 +235,7 @@
         self._reindex(worker)
 
     def deallocate(self, attempt: Attempt) -> bool:
-        """Release the resources of an attempt that has surely ended.
+        """Release the resources of an attempt that is known to have ended.
 
         Returns
         -------
@@ -265,7 +270,8 @@
     ) -> Iterator[list[Worker]]:
         """Yield samples of schedulable workers with enough available resources.
 
-        The samples come in ascending order of the available resources.
+        There is one sample for each size class of available resources. The classes are
+        in ascending order of accelerators, then processors, then memory.
 
         Parameters
         ----------
@@ -288,7 +294,7 @@
             if fitting:
                 yield fitting
 
-    def fits_any_empty_worker(self, demand: Resources) -> bool:
+    def fits_capacity_of_any_worker(self, demand: Resources) -> bool:
         """Tell whether `demand` fits the capacity of a worker that is not ``GONE``."""
         return any(
             demand.fits_in(worker.info.capacity)
--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -59,7 +59,7 @@
     authority : Authority
         Tells whether the owner may act.
     weights : OrderWeights, optional
-        Weights of usage and waiting time in the order of the teams.
+        Weights of usage and waiting time when teams are sorted.
     """
 
     def __init__(
@@ -89,14 +89,17 @@
         self._is_paused = True
 
     def accept(self, submission: Submission) -> Result[Work, Refusal]:
-        """Accept a submission; return its work, or the earlier work that it repeats."""
+        """Accept a submission; return its work, or the earlier work that it repeats.
+
+        A refusal is returned if admission fails or if the key was used for other work.
+        """
         duplicate = self.work_registry.find_duplicate(submission)
         if isinstance(duplicate, Err):
             return duplicate
         if duplicate.ok_value is not None:
             self._activate_resubmitted(duplicate.ok_value)
             return Ok(duplicate.ok_value)
-        refusal = check_admission(submission, self.ledger, self.scheduler.pending_count)
+        refusal = check_admission(submission, self.ledger, self.scheduler.queued_count)
         if refusal is not None:
             self._actions.counts[f"refused.{refusal.kind.value}"] += 1
             return Err(refusal)
@@ -117,7 +120,7 @@
         self.work_registry.discard(work)
 
     def cancel(self, work: Work, refusal: Refusal) -> None:
-        """Cancel work: unsent tasks never run, and sent ones are stopped.
+        """Cancel work: tasks without a sent start order never run, others are stopped.
 
         Parameters
         ----------
@@ -140,7 +143,7 @@
             self._cancel_task(task)
 
     def enqueue(self, task: Task, may_be_running: bool = False) -> None:
-        """Make a task pending and queue it, unless it awaits its resubmission.
+        """Make a task pending and queue it, unless its work awaits resubmission.
 
         Parameters
         ----------
@@ -188,7 +191,7 @@
         return True
 
     def mark_started(self, attempt_id: str) -> None:
-        """Record that a worker confirmed to run an attempt."""
+        """Record that a worker confirmed that it runs an attempt."""
         task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.state not in (TaskState.PLACED, TaskState.STARTING):
             return
@@ -202,7 +205,7 @@
     def mark_ended(
         self, attempt_id: str, end: AttemptEnd, answer: bytes = b"", reason: str = ""
     ) -> None:
-        """Record that an attempt surely runs no more, and finish or retry its task.
+        """Record that an attempt runs no more, and finish or retry its task.
 
         Parameters
         ----------
@@ -213,7 +216,8 @@
         answer : bytes
             Output of the attempt, or the error message if it failed.
         reason : str
-            Reason of a refusal or loss, which names the retry in the metrics.
+            Reason of a refusal or loss; a retry is counted as ``retried.<reason>``, or
+            by `end` if it is empty.
         """
         task = self.work_registry.find_task_by_current_attempt(attempt_id)
         if task is None or task.attempt is None:
@@ -234,7 +238,7 @@
             task.answer = TaskAnswer(attempt_id, attempt.worker, answer)
             self._finish_task(task, TaskState.SUCCEEDED, end)
         elif next_step is NextStep.TELL_UNKNOWN:
-            message = "the task was started, but its outcome cannot be determined"
+            message = "the task may have been started; its outcome cannot be determined"
             task.work.refusal = Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
             self._finish_task(task, TaskState.UNKNOWN, end)
         elif next_step is NextStep.FAIL:
@@ -243,12 +247,12 @@
             self._retry_or_fail_task(task, answer, end, reason)
 
     def stop_task(self, task: Task, checkpoint: bool) -> None:
-        """Order the worker to stop the current attempt, unless it was ordered before.
+        """Order the worker to stop a task's attempt, unless it has been ordered to.
 
         Parameters
         ----------
         task : Task
-            The task that the attempt belongs to.
+            The task, of which the current attempt is stopped.
         checkpoint : bool
             Whether the program is asked to write a checkpoint first, if it can.
         """
@@ -260,12 +264,12 @@
             StopOrder(attempt.worker, attempt.attempt_id, checkpoint)
         )
 
-    def stop_unknown_attempt(self, order: StopOrder) -> None:
-        """Order a worker to stop an attempt that is not in the work registry."""
+    def stop_superseded_attempt(self, order: StopOrder) -> None:
+        """Order a worker to stop an attempt that is not its task's current one."""
         self._actions.stops.append(order)
 
     def acknowledge(self, worker: str, attempt_id: str) -> None:
-        """Acknowledge an end to a worker, which may then discard the answer."""
+        """Acknowledge the end of an attempt; its worker may then discard the answer."""
         self._actions.acknowledgements.append(Acknowledgement(worker, attempt_id))
 
     def mark_delivered(self, work: Work) -> None:
--- a/src/fuchsiadale/decision/preemption.py
+++ b/src/fuchsiadale/decision/preemption.py
@@ -1,4 +1,4 @@
-"""Frees resources for urgent tasks by stopping attempts that can be run again."""
+"""Frees resources for urgent tasks by stopping tasks that can be run again."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
         self._worker_by_task: dict[str, str] = {}
 
     def add_running(self, task: Task) -> None:
-        """Register the running attempt of a task as the youngest."""
+        """Register a task's running attempt as the youngest, if it may be stopped."""
         attempt = task.attempt
         if attempt is None:
             return
@@ -100,7 +100,11 @@
             self._hold_by_worker.pop(worker, None)
 
     def stoppable_youngest_first(self, team: str) -> Iterator[Attempt]:
-        """Yield the attempts of a team that can be run again, youngest first."""
+        """Yield the running attempts of a team that may be stopped, youngest first.
+
+        They belong to idempotent work other than requests. They may be stopped to
+        enforce a grant; for an urgent task, only preemptible ones are stopped.
+        """
         yield from reversed(list(self._stoppable_by_team.get(team, {}).values()))
 
     def allows_placement(self, task: Task, worker: Worker) -> bool:
@@ -146,7 +150,14 @@
         return best
 
     def _choose_victims(self, name: str, task: Task) -> list[Attempt] | None:
-        """Return the youngest attempts to stop so that the task fits, or None."""
+        """Return as few of a worker's youngest preemptible attempts as needed.
+
+        Returns
+        -------
+        list of Attempt or None
+            None if the task may not be placed on the worker, if all of them do not
+            suffice or if none is needed.
+        """
         worker = self._ledger.workers[name]
         if not worker.is_schedulable or name in task.failed_worker_names:
             return None
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -216,7 +216,9 @@
             self._orphans[running.attempt_id] = attempt
             self._join(task.submission, attempt)
         elif task is not None:
-            partition.stop_unknown_attempt(StopOrder(name, running.attempt_id, False))
+            partition.stop_superseded_attempt(
+                StopOrder(name, running.attempt_id, False)
+            )
             self._orphans[running.attempt_id] = attempt
         else:
             self._orphans[running.attempt_id] = attempt
@@ -356,7 +358,7 @@
         ):
             return
         if partition.work_registry.find_task(task_id_of(attempt_id)) is not None:
-            partition.stop_unknown_attempt(StopOrder(name, attempt_id, False))
+            partition.stop_superseded_attempt(StopOrder(name, attempt_id, False))
 
     def _hear(self, name: str, sent_s: float) -> None:
         self._heard_s[name] = max(self._heard_s.get(name, sent_s), sent_s)
--- a/src/fuchsiadale/decision/reservation.py
+++ b/src/fuchsiadale/decision/reservation.py
@@ -23,8 +23,9 @@
     workers : frozenset of str
         Names of the reserved workers.
     expected_s : float
-        Clock time at which the gang is expected to start; tasks that are declared to
-        end before may run on the reserved workers.
+        Clock time at which the gang is expected to start, half of the duration after
+        the workers were reserved. Tasks that are declared to end before may run on
+        them.
     expires_s : float
         Clock time at which the reservation ends.
     """
@@ -78,7 +79,7 @@
         return self._current
 
     def drop(self, work_id: str) -> None:
-        """Drop the reservation, if any, of a gang that was placed or cancelled."""
+        """Drop a gang's reservation, and let the gang reserve workers again."""
         self._blocked_until_s.pop(work_id, None)
         if self._current is not None and self._current.work_id == work_id:
             self._current = None
@@ -91,8 +92,8 @@
         tasks : sequence of Task
             The tasks of the gang.
         duration_s : float
-            Duration of the reservation in seconds. If it ends before the gang is
-            placed, the gang cannot reserve workers again for the same duration.
+            Duration of the reservation in seconds. Once it is found to have
+            expired, the gang is barred from reserving workers for `duration_s` more.
         """
         now_s = self._clock.now()
         self._drop_expired(now_s, duration_s)
@@ -131,7 +132,11 @@
             self._current = None
 
     def _choose_workers(self, tasks: Sequence[Task]) -> list[str]:
-        """Return the least loaded workers whose capacity suffices for the gang."""
+        """Return ready workers that together could run the gang if they were empty.
+
+        Workers with the fewest attempts are taken first. The list is empty if all
+        ready workers together do not suffice.
+        """
         demand = tasks[0].submission.resources
         ready_workers = [
             worker
--- a/src/fuchsiadale/decision/resources.py
+++ b/src/fuchsiadale/decision/resources.py
@@ -69,7 +69,9 @@
             max(self.connections, other.connections),
         )
 
-    def scaled_down(self, numerator: Resources, denominator: Resources) -> Resources:
+    def scaled_by_ratio(
+        self, numerator: Resources, denominator: Resources
+    ) -> Resources:
         """Return each amount times ``numerator / denominator``, rounded down.
 
         Zero amounts of the denominator count as 1.
@@ -105,9 +107,10 @@
         )
 
     def dominant_share(self, total: Resources) -> float:
-        """Return the largest fraction that any amount is of the one in `total`.
+        """Return the largest ratio of an amount to the same amount in `total`.
 
-        Only processors, memory and accelerators count. This is the dominant share of
+        Only processors, memory and accelerators count, and those of them whose total
+        is 0 are ignored. This is the dominant share of
         Ghodsi et al., "Dominant Resource Fairness", NSDI 2011.
         """
         share = 0.0
--- a/src/fuchsiadale/decision/scheduler.py
+++ b/src/fuchsiadale/decision/scheduler.py
@@ -56,14 +56,15 @@
 
 @define
 class TeamAllowance:
-    """Grant of a team in this partition, and the larger grant that it needs.
+    """Grant of a team in this partition, and the larger grant that it wants.
 
     Attributes
     ----------
     grant : Resources
         Part of the team's limit that is granted to this partition.
     wanted : Resources or None
-        Grant that the team's waiting tasks need, if the present one is too small.
+        Element-wise maximum of the grants that the tasks and gangs which exceeded the
+        present grant would each need; None if none did since the grant was set.
     """
 
     grant: Resources = NO_LIMIT
@@ -82,7 +83,7 @@
     epoch : int
         Epoch of the partition's owner, which new attempts carry.
     weights : OrderWeights
-        Weights of usage and waiting time in the order of the teams.
+        Weights of usage and waiting time when teams are sorted.
     policies : mapping of WorkKind to PlacementPolicy, optional
         The placement policy of each kind of work.
 
@@ -126,12 +127,12 @@
         return self._allowance_by_team
 
     @property
-    def pending_count(self) -> int:
-        """Number of queued tasks."""
+    def queued_count(self) -> int:
+        """Number of queued tasks, without those that `PendingTasks` still delays."""
         return sum(len(queue) for queue in self._queue_by_priority.values())
 
     def set_weights(self, weights: OrderWeights) -> None:
-        """Set the weights in the order of the teams, and reorder the teams."""
+        """Set the weights of usage and waiting time, and reorder the teams."""
         for queue in self._queue_by_priority.values():
             queue.weights = weights
             queue.reorder_all()
@@ -166,10 +167,10 @@
         """Remove a pending task from its queue."""
         self._remove_from_queue(self._queue_by_priority[task.submission.priority], task)
 
-    def pending_tasks(self) -> Iterator[Task]:
+    def queued_tasks(self) -> Iterator[Task]:
         """Yield every queued task, urgent tasks first."""
         for priority in Priority:
-            yield from self._queue_by_priority[priority].pending_tasks()
+            yield from self._queue_by_priority[priority].queued_tasks()
 
     def allocate_running(self, attempt: Attempt) -> None:
         """Allocate resources to an attempt that may already run on its worker."""
@@ -180,7 +181,7 @@
         self._add_usage(attempt.team, attempt.resources)
 
     def release(self, attempt: Attempt) -> bool:
-        """Release the resources of an attempt that has surely ended.
+        """Release the resources of an attempt that is known to have ended.
 
         Returns
         -------
@@ -198,7 +199,8 @@
     def schedule(self) -> Iterator[Placement]:
         """Place the tasks that fit, in the order of the teams.
 
-        Resources are allocated before a placement is yielded.
+        All urgent tasks are tried before the others. Resources are allocated before a
+        placement is yielded. Workers are claimed for some tasks that do not fit.
         """
         self._claims.drop_expired()
         for priority in Priority:
@@ -213,7 +215,7 @@
         """Choose attempts to stop so that pending urgent tasks fit on a worker."""
         urgent = self._queue_by_priority[Priority.URGENT]
         return self._preemption.plan(
-            task for task in urgent.pending_tasks() if self._fits_grant(task, 1)
+            task for task in urgent.queued_tasks() if self._fits_grant(task, 1)
         )
 
     def attempts_above_grant(self, team: str) -> list[Attempt]:
@@ -232,11 +234,11 @@
         return chosen_attempts
 
     def add_running(self, task: Task) -> None:
-        """Make the running attempt of a task a candidate for preemption."""
+        """Register the running attempt of a task, if its work may be stopped."""
         self._preemption.add_running(task)
 
     def _remove_from_queue(self, queue: FairQueue, task: Task) -> None:
-        """Remove a task from its queue, and drop the workers that are kept for it."""
+        """Remove a task from its queue; drop its hold, claim and gang reservation."""
         queue.remove(task)
         self._preemption.drop_hold(task)
         self._claims.drop(task.task_id)
@@ -248,9 +250,9 @@
     ) -> Iterator[Placement]:
         """Place the first task of a team that fits, or the gang that it belongs to.
 
-        Only the oldest task of each group is tried. A group that is within the team's
-        grant and fits on no worker is added to `failed_groups`; the equivalent groups
-        of other teams are then skipped in this pass.
+        Only the first task of each group is tried. A group that was not placed is
+        added to `failed_groups` if one of its tasks is within the team's grant; the
+        equivalent groups of other teams are then skipped in this pass.
         """
         for key, task in queue.group_heads(team):
             if key in failed_groups:
@@ -264,7 +266,11 @@
                 failed_groups.add(key)
 
     def _claim_workers(self, queue: FairQueue) -> None:
-        """Claim a worker for the oldest claimable task of each team, in their order."""
+        """Claim a worker for one task of each team, in the order of the teams.
+
+        It is the first queued task that is within the team's grant and not of a gang.
+        No more workers are claimed once the limit of claims is reached.
+        """
         for team in queue.teams_in_order():
             if not self._claims.is_below_limit:
                 return
@@ -276,7 +282,7 @@
     def _place_group(
         self, queue: FairQueue, key: TaskGroupKey, task: Task
     ) -> list[Placement]:
-        """Place the oldest task of a group, or the whole gang."""
+        """Place the first task of a group, or the whole gang."""
         if key.kind is WorkKind.GANG:
             return self._place_gang(queue, key, task)
         if not self._fits_grant(task, 1):
@@ -297,7 +303,11 @@
     def _place_gang(
         self, queue: FairQueue, key: TaskGroupKey, head: Task
     ) -> list[Placement]:
-        """Place all tasks of a gang at once, or else reserve workers for it."""
+        """Place all tasks of a gang at once.
+
+        If they are all queued and within the grant, but do not fit, workers are
+        reserved for the gang if possible.
+        """
         tasks = queue.group_tasks(head.submission.team, key)
         unfinished_tasks = [task for task in head.work.tasks if not task.state.is_final]
         if len(tasks) < len(unfinished_tasks) or not self._fits_grant(head, len(tasks)):
@@ -351,7 +361,7 @@
         task.state = TaskState.PENDING
 
     def _placement_filter(self, task: Task) -> WorkerFilter:
-        """Return a function that tells whether a worker is kept for no other task."""
+        """Return a predicate: whether holds, reservations and claims allow the task."""
 
         def is_allowed(worker: Worker) -> bool:
             return (
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -122,7 +122,7 @@
         name=partition.name,
         epoch=partition.epoch,
         may_act=partition.authority.may_act(),
-        pending=scheduler.pending_count,
+        pending=scheduler.queued_count,
         works=len(partition.work_registry.works),
         workers=workers,
         teams=teams,
--- a/src/fuchsiadale/decision/work.py
+++ b/src/fuchsiadale/decision/work.py
@@ -33,7 +33,7 @@
 
 
 class Priority(IntEnum):
-    """Priority of a task over other pending tasks; the lower value runs first."""
+    """Priority of a task over other pending tasks; lower values are placed first."""
 
     URGENT = 0
     NORMAL = 1
@@ -55,7 +55,7 @@
     SUCCEEDED, FAILED, CANCELLED
         The task ended in this way.
     UNKNOWN
-        The task was started, and its outcome cannot be determined.
+        The task may have been started, and its outcome cannot be determined.
     """
 
     PENDING = "pending"
@@ -95,7 +95,7 @@
     NOT_RUN
         The attempt never ran and never will.
     LOST
-        The attempt runs no more, and whether it ran is unknown.
+        The attempt runs no more, and it is unknown whether it ran or how it ended.
     """
 
     SUCCEEDED = "succeeded"
@@ -145,7 +145,8 @@
     priority : Priority
         Priority of its tasks over other pending tasks.
     idempotent : bool
-        Whether a task may be run again once its former attempt has surely ended.
+        Whether a task may be run again once its former attempt is known to
+        have ended.
     key : str
         The client's idempotency key; empty if it gave none.
     deadline_s : float
@@ -199,7 +200,7 @@
     team : str
         The team that its resources count for.
     boot_id : str
-        Boot identifier of the worker when it was planned; empty if unknown.
+        Boot identifier of the worker when the attempt was planned; empty if unknown.
     """
 
     attempt_id: str
@@ -253,17 +254,19 @@
         The current attempt, or the last one once the task has ended; None while the
         task is pending, and if it was cancelled before it started.
     attempts_made : int
-        Number of attempts that this epoch planned.
+        Number of attempts planned in the present epoch.
     failures : int
         Number of attempts that ran and failed.
     queued_at_s : float
         Clock time at which it was queued.
     started_at_s : float or None
-        Clock time at which its first attempt was confirmed to run.
+        Clock time at which one of its attempts was first confirmed to run; None
+        before.
     eligible_at_s : float
         Clock time from which it may be placed.
     acknowledged_at_s : float
-        Clock time at which its worker last confirmed that the attempt runs.
+        Clock time at which its worker confirmed that the current attempt had started;
+        later heartbeats do not change it.
     failed_worker_names : set of str
         Names of the workers that it failed on, which placement avoids.
     answer : TaskAnswer or None
@@ -280,7 +283,7 @@
         Whether an attempt before the current one may have run.
     start_valid_until_s : float or None
         Reading of the worker's clock after which a start order without a reply can no
-        longer take effect.
+        longer take effect; None unless such an order may be outstanding.
     """
 
     task_id: str
@@ -322,7 +325,7 @@
     refusal : Refusal or None
         The error that is reported to the client if it did not succeed.
     ended_at_s : float or None
-        Clock time at which its last task ended.
+        Clock time at which its last task ended; None before.
     awaits_resubmission : bool
         Whether it is a request that was recovered from the journal and starts only if
         the client's entry submits it again.
--- a/src/fuchsiadale/decision/work_registry.py
+++ b/src/fuchsiadale/decision/work_registry.py
@@ -62,12 +62,12 @@
 
 
 def ended_event(task: Task, state: TaskState, end: AttemptEnd) -> Ended:
-    """Return the journal event that records the end of a task's current attempt.
+    """Return the journal event that records the end of a task's attempt.
 
     Parameters
     ----------
     task : Task
-        The task, which still holds the attempt that ended and its answer.
+        The task, with its answer and the attempt that ended, if it had one.
     state : TaskState
         State of the task after the attempt.
     end : AttemptEnd
@@ -89,7 +89,7 @@
 
 
 class WorkRegistry:
-    """Finds the work of a partition by work id or by idempotency key."""
+    """Holds the work of a partition, by work id and by idempotency key."""
 
     def __init__(self) -> None:
         self._work_by_id: dict[str, Work] = {}
@@ -113,7 +113,8 @@
         -------
         Result
             The earlier work, or None if there is none. A refusal with kind
-            ``KEY_REUSED`` if the earlier submission with this key differs.
+            ``KEY_REUSED`` if the earlier submission with this key differs in
+            more than its work id, deadline or resubmission mark.
         """
         work = self._work_by_id.get(submission.work_id)
         if work is not None:
@@ -189,7 +190,11 @@
             task.work.ended_at_s = now_s
 
     def remove_expired(self, now_s: float) -> int:
-        """Remove work whose retention time is over; return the number removed."""
+        """Remove work that is no longer retained; return the number removed.
+
+        This is ended work after its retention time, and recovered requests that were
+        not submitted again in time.
+        """
         expired: list[Work] = []
         for work in self._work_by_id.values():
             if work.awaits_resubmission and _is_abandoned(work, now_s):
@@ -210,9 +215,10 @@
         event : JournalEvent
             The event.
         epoch : int
-            The epoch of the new owner.
+            Epoch of the new owner; not used.
         now_s : float
-            Clock time at which the replayed submissions and ends count as made.
+            Clock time that is recorded as the queue time of replayed submissions and as
+            the end time of work that ended.
         """
         match event:
             case Accepted(submission=submission):
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -214,7 +214,7 @@
         used: Resources,
     ) -> None:
         """Give back a grant that has been far above the usage for a while."""
-        reserve = team.limit.scaled_down(
+        reserve = team.limit.scaled_by_ratio(
             Resources(1, 1, 1, 1, 1), Resources(*[CHUNKS_PER_LIMIT] * 5)
         )
         keep = used + reserve if used != NO_RESOURCES else NO_RESOURCES
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -147,7 +147,7 @@
         for run in self._runs.values():
             declared = run.order.resources
             factor = run.takes_percent
-            total = total + declared.scaled_down(
+            total = total + declared.scaled_by_ratio(
                 Resources(factor, factor, 100, 100, 100),
                 Resources(100, 100, 100, 100, 100),
             )
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -22,7 +22,7 @@
 """Resources of a task that fits on an empty worker twice."""
 
 URGENT_START_LIMIT_S = 3.2
-"""Seconds within which an urgent task starts on a full fleet."""
+"""Seconds within which an urgent task must start on a full fleet."""
 
 
 def confirm_starts(harness: PartitionHarness, actions: Actions) -> list[str]:
@@ -106,7 +106,7 @@
     assert len(harness.partition.step().starts) == 1
 
 
-def test_two_gangs_do_not_block_each_other() -> None:
+def test_two_gangs_that_fit_only_one_at_a_time_both_finish() -> None:
     harness = PartitionHarness(workers=2)
     gangs = [
         harness.partition.accept(
@@ -141,7 +141,7 @@
     assert {task.state for task in work.tasks} == {TaskState.PLACED}
 
 
-def test_urgent_work_starts_in_time_on_a_full_fleet() -> None:
+def test_urgent_task_starts_within_limit_by_preempting_one_worker() -> None:
     harness = PartitionHarness(workers=3)
     harness.partition.accept(make_submission(1, WorkKind.BATCH, tasks=24))
     confirm_starts(harness, harness.partition.step())
@@ -166,7 +166,7 @@
     assert harness.clock.now() - submitted_at_s <= URGENT_START_LIMIT_S
 
 
-def test_success_after_failure_on_removed_worker_finishes_the_work() -> None:
+def test_removed_worker_is_not_quarantined_when_it_is_blamed_later() -> None:
     harness = PartitionHarness(workers=2)
     removed_worker = "worker-0"
     works = [harness.partition.accept(make_submission(n)).unwrap() for n in range(3)]
