--- a/src/fuchsiadale/decision/admission.py
+++ b/src/fuchsiadale/decision/admission.py
@@ -28,8 +28,7 @@
     if queued_count + submission.tasks > MAX_QUEUED_TASKS:
         return Refusal(
             ErrorKind.QUEUE_FULL,
-            f"the partition's queue holds {queued_count} tasks;"
-            f" {submission.tasks} more would exceed {MAX_QUEUED_TASKS}",
+            "the tasks of the submission exceed the free space of the partition's queue",
         )
     if not ledger.fits_capacity_of_any_worker(submission.resources):
         message = "no worker of the pool is large enough for one task"
