--- a/src/fuchsiadale/decision/admission.py
+++ b/src/fuchsiadale/decision/admission.py
@@ -28,7 +28,7 @@
     if queued_count + submission.tasks > MAX_QUEUED_TASKS:
         return Refusal(
             ErrorKind.QUEUE_FULL,
-            "the tasks of the submission exceed the free space of the partition's queue",
+            "the submission's tasks exceed the free space of the partition's queue",
         )
     if not ledger.fits_capacity_of_any_worker(submission.resources):
         message = "no worker of the pool is large enough for one task"
