--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -113,7 +113,7 @@
             state=worker.state,
             failure_domain=worker.info.failure_domain,
             capacity=worker.info.capacity,
-            free=worker.free,
+            free=worker.unallocated,
             attempts=list(worker.attempts),
         )
         for name, worker in sorted(partition.ledger.workers.items())
@@ -122,8 +122,8 @@
         name=partition.name,
         epoch=partition.epoch,
         may_act=partition.authority.may_act(),
-        pending=scheduler.pending_count,
-        works=len(partition.book.works),
+        pending=scheduler.queued_count,
+        works=len(partition.work_registry.works),
         workers=workers,
         teams=teams,
     )
