--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -13,7 +13,7 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.reports import WorkerReport
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.work import (
@@ -55,13 +55,13 @@
     ]
     names = [info.name for info in infos]
     authority = Authority(clock, names, taken_over=False)
-    authority.lease_renewed(clock.now())
+    authority.record_lease_renewal(clock.now())
     partition = Partition("pool.0", 1, clock, authority)
-    reconciliation = Reconciliation(partition, clock)
+    reconciliation = Reconciler(partition, clock)
     reconciliation.set_workers(infos, names)
     for name in names:
         report = WorkerReport(clock_s=1.0, boot_id="b")
-        reconciliation.adopted(name, report, clock.now())
+        reconciliation.process_adoption(name, report, clock.now())
     return partition
 
 
--- a/src/fuchsiadale/decision/authority.py
+++ b/src/fuchsiadale/decision/authority.py
@@ -11,7 +11,7 @@
     MEMBER_LEASE_S,
     RERUN_WAIT_S,
     SAFETY_MARGIN_S,
-    WITNESS_TIME_S,
+    WITNESS_VALIDITY_S,
 )
 
 
@@ -21,9 +21,9 @@
 
     Attributes
     ----------
-    witness : bool
+    witness_acknowledgement : bool
         Without a lease, acting needs recent acknowledgements of witnesses.
-    majority : bool
+    witness_majority : bool
         Adoption and acknowledgement need a majority of the witness set, not one.
     takeover_wait : bool
         A taker waits until acknowledgements of the former owner have expired.
@@ -31,8 +31,8 @@
         What may run on a worker never adopted is re-run only after its leases.
     """
 
-    witness: bool = True
-    majority: bool = True
+    witness_acknowledgement: bool = True
+    witness_majority: bool = True
     takeover_wait: bool = True
     rerun_wait: bool = True
 
@@ -84,19 +84,19 @@
         """Give up the partition for good."""
         self._revoked = True
 
-    def lease_renewed(self, sent_s: float) -> None:
+    def record_lease_renewal(self, sent_s: float) -> None:
         """Note a renewal of the member row that was sent at `sent_s`."""
         if self._lease_sent_s is None or sent_s > self._lease_sent_s:
             self._lease_sent_s = sent_s
 
-    def adopted(self, worker: str) -> None:
+    def record_adoption(self, worker: str) -> None:
         """Note a worker that accepted this epoch, or that is known to have gone."""
         self._adopted.add(worker)
         seen = len(self._witnesses & self._adopted)
         if self._majority_at_s is None and self._is_quorum(seen, self._witnesses):
             self._majority_at_s = self._clock.now()
 
-    def acknowledged(self, worker: str, sent_s: float) -> None:
+    def record_acknowledgement(self, worker: str, sent_s: float) -> None:
         """Note a worker's answer to a heartbeat that was sent at `sent_s`."""
         earlier_s = self._acknowledged_s.get(worker, sent_s)
         self._acknowledged_s[worker] = max(earlier_s, sent_s)
@@ -120,7 +120,7 @@
             return False
         return self._holds_lease() or (self._fencing and self._has_witnesses())
 
-    def may_rerun(self) -> bool:
+    def may_rerun_unreported(self) -> bool:
         """Tell whether nothing can be running that no adopted worker reported."""
         if self._witnesses <= self._adopted:
             return True
@@ -148,7 +148,7 @@
         moment_s = self._majority_at_s if self._witnesses else self._taken_at_s
         if moment_s is None:
             return None
-        return moment_s + WITNESS_TIME_S + SAFETY_MARGIN_S
+        return moment_s + WITNESS_VALIDITY_S + SAFETY_MARGIN_S
 
     def _holds_lease(self) -> bool:
         if self._lease_sent_s is None:
@@ -157,13 +157,13 @@
         return age_s < MEMBER_LEASE_S - SAFETY_MARGIN_S
 
     def _has_witnesses(self) -> bool:
-        if not self._rules.witness:
+        if not self._rules.witness_acknowledgement:
             return True
         now_s = self._clock.now()
         recent = {
             name
             for name, sent_s in self._acknowledged_s.items()
-            if now_s - sent_s < WITNESS_TIME_S
+            if now_s - sent_s < WITNESS_VALIDITY_S
         }
         sets = [self._witnesses]
         if self._proposed is not None:
@@ -171,6 +171,6 @@
         return all(self._is_quorum(len(recent & each), each) for each in sets)
 
     def _is_quorum(self, count: int, witnesses: frozenset[str]) -> bool:
-        if not self._rules.majority:
+        if not self._rules.witness_majority:
             return count >= 1
         return 2 * count > len(witnesses)
--- a/src/fuchsiadale/decision/errors.py
+++ b/src/fuchsiadale/decision/errors.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 
-class RunState(Enum):
+class ExecutionOutcome(Enum):
     """What is known about whether the work ran."""
 
     NOT_RUN = "not_run"
@@ -45,52 +45,52 @@
 
 
 @frozen
-class ErrorAnswer:
+class ErrorResponse:
     """How an error kind is told to a caller.
 
     Attributes
     ----------
     http_status : int
         Status code of the HTTP answer.
-    run_state : RunState
+    execution_outcome : ExecutionOutcome
         Whether the work ran.
     retry_after_s : int or None
         Seconds after which a new try is worthwhile, if one is.
     """
 
     http_status: int
-    run_state: RunState
+    execution_outcome: ExecutionOutcome
     retry_after_s: int | None = None
 
 
-_NOT_RUN = RunState.NOT_RUN
+_NOT_RUN = ExecutionOutcome.NOT_RUN
 
-ANSWERS: Mapping[ErrorKind, ErrorAnswer] = MappingProxyType(
+ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = MappingProxyType(
     {
-        ErrorKind.MALFORMED: ErrorAnswer(400, _NOT_RUN),
-        ErrorKind.TOO_LARGE: ErrorAnswer(413, _NOT_RUN),
-        ErrorKind.UNAUTHENTICATED: ErrorAnswer(401, _NOT_RUN),
-        ErrorKind.FORBIDDEN: ErrorAnswer(403, _NOT_RUN),
-        ErrorKind.NOT_FOUND: ErrorAnswer(404, _NOT_RUN),
-        ErrorKind.NO_SUCH_JOB: ErrorAnswer(410, _NOT_RUN),
-        ErrorKind.INFEASIBLE: ErrorAnswer(422, _NOT_RUN),
-        ErrorKind.QUEUE_FULL: ErrorAnswer(429, _NOT_RUN, 1),
-        ErrorKind.KEY_REUSED: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.VERSION_CONFLICT: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.CONFIG_INVALID: ErrorAnswer(422, _NOT_RUN),
-        ErrorKind.CONFIG_STALE: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.NO_OWNER: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.NOT_OWNER: ErrorAnswer(503, _NOT_RUN, 1),
-        ErrorKind.DRAINING: ErrorAnswer(503, _NOT_RUN, 1),
-        ErrorKind.TIMEOUT: ErrorAnswer(504, _NOT_RUN, 1),
-        ErrorKind.CANCELLED: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.RETRIES_EXHAUSTED: ErrorAnswer(503, _NOT_RUN, 5),
-        ErrorKind.TASK_FAILED: ErrorAnswer(502, RunState.RAN),
-        ErrorKind.POISON: ErrorAnswer(422, RunState.RAN),
-        ErrorKind.ANSWER_LOST: ErrorAnswer(410, RunState.RAN),
-        ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(504, RunState.OUTCOME_UNKNOWN),
-        ErrorKind.INTERNAL: ErrorAnswer(500, RunState.OUTCOME_UNKNOWN),
+        ErrorKind.MALFORMED: ErrorResponse(400, _NOT_RUN),
+        ErrorKind.TOO_LARGE: ErrorResponse(413, _NOT_RUN),
+        ErrorKind.UNAUTHENTICATED: ErrorResponse(401, _NOT_RUN),
+        ErrorKind.FORBIDDEN: ErrorResponse(403, _NOT_RUN),
+        ErrorKind.NOT_FOUND: ErrorResponse(404, _NOT_RUN),
+        ErrorKind.NO_SUCH_JOB: ErrorResponse(410, _NOT_RUN),
+        ErrorKind.INFEASIBLE: ErrorResponse(422, _NOT_RUN),
+        ErrorKind.QUEUE_FULL: ErrorResponse(429, _NOT_RUN, 1),
+        ErrorKind.KEY_REUSED: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.VERSION_CONFLICT: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.CONFIG_INVALID: ErrorResponse(422, _NOT_RUN),
+        ErrorKind.CONFIG_STALE: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.NO_OWNER: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.NOT_OWNER: ErrorResponse(503, _NOT_RUN, 1),
+        ErrorKind.DRAINING: ErrorResponse(503, _NOT_RUN, 1),
+        ErrorKind.TIMEOUT: ErrorResponse(504, _NOT_RUN, 1),
+        ErrorKind.CANCELLED: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.RETRIES_EXHAUSTED: ErrorResponse(503, _NOT_RUN, 5),
+        ErrorKind.TASK_FAILED: ErrorResponse(502, ExecutionOutcome.RAN),
+        ErrorKind.POISON: ErrorResponse(422, ExecutionOutcome.RAN),
+        ErrorKind.ANSWER_LOST: ErrorResponse(410, ExecutionOutcome.RAN),
+        ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(504, ExecutionOutcome.OUTCOME_UNKNOWN),
+        ErrorKind.INTERNAL: ErrorResponse(500, ExecutionOutcome.OUTCOME_UNKNOWN),
     }
 )
 
@@ -103,6 +103,6 @@
     message: str
 
     @property
-    def answer(self) -> ErrorAnswer:
+    def response(self) -> ErrorResponse:
         """The answer that the table gives for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
--- a/src/fuchsiadale/decision/events.py
+++ b/src/fuchsiadale/decision/events.py
@@ -9,14 +9,14 @@
 
 
 @frozen
-class Accepted:
+class AcceptedEvent:
     """A submission was accepted."""
 
     submission: Submission
 
 
 @frozen
-class Planned:
+class PlannedEvent:
     """An attempt was planned; its start may have been sent.
 
     Attributes
@@ -37,7 +37,7 @@
 
 
 @frozen
-class Ended:
+class EndedEvent:
     """An attempt ended, and left its task in `state`.
 
     Attributes
@@ -69,11 +69,11 @@
 
 
 @frozen
-class Cancelled:
+class CancelledEvent:
     """A caller cancelled a piece of work, or its deadline passed."""
 
     work_id: str
     refusal: Refusal
 
 
-JournalEvent = Accepted | Planned | Ended | Cancelled
+JournalEvent = AcceptedEvent | PlannedEvent | EndedEvent | CancelledEvent
--- a/src/fuchsiadale/decision/freshness.py
+++ b/src/fuchsiadale/decision/freshness.py
@@ -5,11 +5,11 @@
 from attrs import frozen
 
 from fuchsiadale.decision.clock import Clock
-from fuchsiadale.decision.constants import CONFIG_FRESHNESS_S
+from fuchsiadale.decision.constants import CONFIG_MAX_AGE_S
 
 
 @frozen
-class PeerConfirmation:
+class PeerConfigStatus:
     """What a peer says of its configuration.
 
     Attributes
@@ -61,13 +61,15 @@
         self._agreeing_s.clear()
         return True
 
-    def confirm_by_store(self, version: int, sent_s: float) -> None:
+    def record_store_answer(self, version: int, sent_s: float) -> None:
         """Note that the store, asked at `sent_s`, had this version."""
         self._store_s = max(sent_s, self._store_s or sent_s)
         if version == self._version:
             self._confirm(sent_s)
 
-    def confirm_by_peer(self, peer: str, told: PeerConfirmation, sent_s: float) -> None:
+    def record_peer_answer(
+        self, peer: str, told: PeerConfigStatus, sent_s: float
+    ) -> None:
         """Note what a peer, asked at `sent_s`, said."""
         if told.version > self._version:
             return
@@ -106,4 +108,4 @@
     def _is_recent(self, moment_s: float | None) -> bool:
         if moment_s is None:
             return False
-        return self._clock.now() - moment_s < CONFIG_FRESHNESS_S
+        return self._clock.now() - moment_s < CONFIG_MAX_AGE_S
--- a/src/fuchsiadale/decision/grants.py
+++ b/src/fuchsiadale/decision/grants.py
@@ -12,7 +12,7 @@
 
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 
-CHUNKS_PER_LIMIT = 16
+GRANT_CHUNKS_PER_LIMIT = 16
 
 
 @frozen
@@ -37,7 +37,7 @@
     ceilings: dict[str, Resources] = field(factory=dict)
 
     @property
-    def granted(self) -> Resources:
+    def total_granted(self) -> Resources:
         """The sum of all grants."""
         total = NO_RESOURCES
         for grant in self.grants.values():
@@ -49,13 +49,13 @@
     """The row was settled by a newer configuration than the caller knows."""
 
 
-def adopt_limit(
+def apply_limit(
     row: TeamGrants, limit: Resources, version: int
 ) -> Result[TeamGrants, StaleLimit]:
     """Bring a row to the limit of a configuration.
 
     A limit below the sum of the grants gives each partition a ceiling in proportion
-    to its grant; the partitions come down to it by `shrink`.
+    to its grant; the partitions come down to it by `lower_grant`.
 
     Parameters
     ----------
@@ -76,7 +76,7 @@
     if row.limit_version == version or row.limit == limit:
         return Ok(evolve(row, limit_version=version))
     ceilings: dict[str, Resources] = {}
-    granted = row.granted
+    granted = row.total_granted
     if not granted.fits_in(limit):
         allowed = granted.minimum(limit)
         for partition, grant in row.grants.items():
@@ -91,7 +91,7 @@
     )
 
 
-def take(row: TeamGrants, partition: str, wanted: Resources) -> TeamGrants:
+def raise_grant(row: TeamGrants, partition: str, wanted: Resources) -> TeamGrants:
     """Raise a partition's grant towards `wanted` as far as the limit leaves room.
 
     A whole chunk is taken where there is room for it, so that a busy partition does
@@ -99,13 +99,13 @@
     """
     held = row.grants.get(partition, NO_RESOURCES)
     chunk = Resources(
-        row.limit.cpu_millis // CHUNKS_PER_LIMIT,
-        row.limit.memory_mb // CHUNKS_PER_LIMIT,
-        row.limit.accelerators // CHUNKS_PER_LIMIT,
-        row.limit.slots // CHUNKS_PER_LIMIT,
-        row.limit.connections // CHUNKS_PER_LIMIT,
+        row.limit.cpu_millis // GRANT_CHUNKS_PER_LIMIT,
+        row.limit.memory_mb // GRANT_CHUNKS_PER_LIMIT,
+        row.limit.accelerators // GRANT_CHUNKS_PER_LIMIT,
+        row.limit.slots // GRANT_CHUNKS_PER_LIMIT,
+        row.limit.connections // GRANT_CHUNKS_PER_LIMIT,
     )
-    room = (row.limit - row.granted).maximum(NO_RESOURCES)
+    room = (row.limit - row.total_granted).maximum(NO_RESOURCES)
     target = wanted.maximum(held) + chunk
     raised = held + (target - held).minimum(room)
     ceiling = row.ceilings.get(partition)
@@ -114,7 +114,7 @@
     return evolve(row, grants={**row.grants, partition: raised})
 
 
-def shrink(row: TeamGrants, partition: str, keep: Resources) -> TeamGrants:
+def lower_grant(row: TeamGrants, partition: str, keep: Resources) -> TeamGrants:
     """Lower a partition's grant to `keep`, and drop its ceiling once it is met."""
     held = row.grants.get(partition, NO_RESOURCES)
     lowered = held.minimum(keep)
--- a/src/fuchsiadale/decision/membership.py
+++ b/src/fuchsiadale/decision/membership.py
@@ -14,7 +14,7 @@
 
 
 @frozen
-class SeenMember:
+class VersionedMemberRow:
     """A member's row as read.
 
     Attributes
@@ -30,12 +30,12 @@
 
 
 @define
-class _Sighting:
-    seen: SeenMember
+class _MemberObservation:
+    seen: VersionedMemberRow
     since_s: float
 
 
-class MemberObserver:
+class MemberLeaseTracker:
     """Watches the members' rows for changes by its own clock.
 
     Parameters
@@ -46,33 +46,33 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._sightings: dict[str, _Sighting] = {}
+        self._sightings: dict[str, _MemberObservation] = {}
 
     @property
     def members(self) -> dict[str, MemberRow]:
         """The members whose rows exist, by name."""
         return {name: sighting.seen.row for name, sighting in self._sightings.items()}
 
-    def observe(self, rows: Iterable[SeenMember]) -> None:
+    def update(self, rows: Iterable[VersionedMemberRow]) -> None:
         """Take a whole reading of the members' rows."""
         now_s = self._clock.now()
-        sightings: dict[str, _Sighting] = {}
+        sightings: dict[str, _MemberObservation] = {}
         for seen in rows:
             name = seen.row.member
             earlier = self._sightings.get(name)
             if earlier is None or earlier.seen.version != seen.version:
-                sightings[name] = _Sighting(seen, now_s)
+                sightings[name] = _MemberObservation(seen, now_s)
             else:
                 sightings[name] = earlier
         self._sightings = sightings
 
-    def lost_sight(self) -> None:
+    def restart_leases(self) -> None:
         """Count every lease anew, since the store did not answer throughout."""
         now_s = self._clock.now()
         for sighting in self._sightings.values():
             sighting.since_s = now_s
 
-    def expired(self) -> list[SeenMember]:
+    def expired_members(self) -> list[VersionedMemberRow]:
         """Return the members whose rows stood unchanged for a whole lease."""
         now_s = self._clock.now()
         return [
@@ -82,7 +82,7 @@
         ]
 
 
-def preferred_owners(
+def assign_owners(
     partitions: Iterable[str], members: Mapping[str, MemberRow]
 ) -> dict[str, str]:
     """Return the member that should own each partition.
@@ -124,14 +124,14 @@
     return xxhash.xxh3_64_intdigest(f"{key}|{member}".encode())
 
 
-def home_of(key: str, members: Iterable[str]) -> str | None:
+def preferred_member(key: str, members: Iterable[str]) -> str | None:
     """Return the member that rendezvous hashing prefers for a key."""
     return max(members, key=lambda member: rendezvous_weight(key, member), default=None)
 
 
-def slice_of(name: str, slices: int) -> int:
+def slice_index_of(name: str, slice_count: int) -> int:
     """Return the slice of a pool that a name belongs to."""
-    return xxhash.xxh3_64_intdigest(name.encode()) % slices
+    return xxhash.xxh3_64_intdigest(name.encode()) % slice_count
 
 
 def partition_name(pool: str, slice_index: int) -> str:
@@ -139,6 +139,6 @@
     return f"{pool}.{slice_index}"
 
 
-def partition_of_work(work_id: str) -> str:
+def partition_of_work_id(work_id: str) -> str:
     """Return the partition that a work id names."""
     return work_id.rpartition(".")[0]
--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -7,24 +7,24 @@
 from fuchsiadale.decision.actions import Acknowledgement, Actions, StopOrder
 from fuchsiadale.decision.admission import refusal_of
 from fuchsiadale.decision.authority import Authority
-from fuchsiadale.decision.blame import Blame
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.constants import (
+    MAX_FAILURES_PER_TASK,
     RETRY_BACKOFF_MAX_S,
-    RETRY_BUDGET_PER_TASK,
 )
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.events import (
-    Accepted,
-    Cancelled,
+    AcceptedEvent,
+    CancelledEvent,
 )
+from fuchsiadale.decision.failure_tracker import FailureTracker
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import Ledger
-from fuchsiadale.decision.quarantine import Quarantine
+from fuchsiadale.decision.quarantine import QuarantineManager
 from fuchsiadale.decision.retry import (
     RETRY_TABLE,
-    NextStep,
     RetryBudgets,
+    RetryDecision,
     backoff_s,
 )
 from fuchsiadale.decision.scheduler import Scheduler
@@ -75,9 +75,9 @@
         self.authority = authority
         self.ledger = Ledger()
         self.book = WorkBook()
-        self.blame = Blame()
+        self.blame = FailureTracker()
         self.scheduler = Scheduler(self.ledger, clock, epoch, weights or OrderWeights())
-        self._quarantine = Quarantine(self.ledger, self.blame, clock)
+        self._quarantine = QuarantineManager(self.ledger, self.blame, clock)
         self._clock = clock
         self._pending = PendingTasks(self.scheduler, authority, clock)
         self._budgets = RetryBudgets()
@@ -102,7 +102,7 @@
             return Err(refusal)
         work = self.book.add(submission, self._clock.now())
         if submission.is_journalled:
-            self._actions.events.append(Accepted(submission))
+            self._actions.events.append(AcceptedEvent(submission))
         self._budgets.deposit(submission.queue, submission.tasks)
         for task in work.tasks:
             self.enqueue(task, held=submission.resubmitted)
@@ -131,7 +131,9 @@
         work.cancelled = True
         work.refusal = refusal
         if work.submission.is_journalled:
-            self._actions.events.append(Cancelled(work.submission.work_id, refusal))
+            self._actions.events.append(
+                CancelledEvent(work.submission.work_id, refusal)
+            )
         self.resume_cancellation(work)
 
     def resume_cancellation(self, work: Work) -> None:
@@ -216,20 +218,20 @@
         self.scheduler.release(attempt)
         if end is not AttemptEnd.NOT_RUN:
             task.may_have_run = True
-        closed = self._quarantine.note_end(task.submission.work_id, attempt, end)
+        closed = self._quarantine.record_end(task.submission.work_id, attempt, end)
         if closed:
             self._actions.counts["worker.quarantined"] += closed
         step = RETRY_TABLE[(end, task.submission.idempotent)]
         if task.work.cancelled and end is not AttemptEnd.SUCCEEDED:
             self._finish_cancelled(task, end)
-        elif step is NextStep.FINISH:
+        elif step is RetryDecision.FINISH:
             task.answer = TaskAnswer(attempt_id, attempt.worker, answer)
             self._finish(task, TaskState.SUCCEEDED, end)
-        elif step is NextStep.TELL_UNKNOWN:
+        elif step is RetryDecision.FAIL_AS_UNKNOWN:
             message = "the task was started and its outcome cannot be learnt"
             task.work.refusal = Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
             self._finish(task, TaskState.UNKNOWN, end)
-        elif step is NextStep.FAIL:
+        elif step is RetryDecision.FAIL:
             self._fail(task, answer, end)
         else:
             self._retry(task, answer, end, reason)
@@ -268,7 +270,7 @@
     def step(self) -> Actions:
         """Place what can be placed and return all that has to be carried out."""
         self._pending.release()
-        self._quarantine.probe()
+        self._quarantine.release_due_workers()
         if self.authority.may_act() and not self._is_paused:
             for placement in self.scheduler.schedule():
                 task = placement.task
@@ -345,7 +347,7 @@
             task.failures += 1
             task.failed_on.add(task.attempt.worker if task.attempt else "")
             is_poison = self.blame.is_poison(task.submission.work_id)
-            if is_poison or task.failures >= RETRY_BUDGET_PER_TASK:
+            if is_poison or task.failures >= MAX_FAILURES_PER_TASK:
                 self._fail(task, answer, end)
                 return
         self._actions.counts[f"retried.{reason or end.value}"] += 1
--- a/src/fuchsiadale/decision/quarantine.py
+++ b/src/fuchsiadale/decision/quarantine.py
@@ -2,42 +2,44 @@
 
 from __future__ import annotations
 
-from fuchsiadale.decision.blame import Blame
 from fuchsiadale.decision.clock import Clock
+from fuchsiadale.decision.failure_tracker import FailureTracker
 from fuchsiadale.decision.ledger import Ledger
 from fuchsiadale.decision.work import Attempt, AttemptEnd
 
 
-class Quarantine:
+class QuarantineManager:
     """Acts on what the ends of attempts say of their workers.
 
     Parameters
     ----------
     ledger : Ledger
         The partition's workers.
-    blame : Blame
+    blame : FailureTracker
         Counts failures.
     clock : Clock
         The clock.
     """
 
-    def __init__(self, ledger: Ledger, blame: Blame, clock: Clock) -> None:
+    def __init__(self, ledger: Ledger, blame: FailureTracker, clock: Clock) -> None:
         self._ledger = ledger
         self._blame = blame
         self._clock = clock
 
-    def note_end(self, work_id: str, attempt: Attempt, end: AttemptEnd) -> int:
+    def record_end(self, work_id: str, attempt: Attempt, end: AttemptEnd) -> int:
         """Note an attempt's end; return how many workers were closed for it."""
         suspects: list[str] = []
-        if end is AttemptEnd.FAILED and self._blame.failed(work_id, attempt.worker):
+        if end is AttemptEnd.FAILED and self._blame.record_failure(
+            work_id, attempt.worker
+        ):
             suspects = [attempt.worker]
         elif end is AttemptEnd.SUCCEEDED:
-            suspects = self._blame.succeeded(work_id, attempt.worker)
+            suspects = self._blame.record_success(work_id, attempt.worker)
         return sum(self._close(name) for name in suspects)
 
-    def probe(self) -> None:
+    def release_due_workers(self) -> None:
         """Open the workers that may be tried again."""
-        for name in self._blame.due_for_probe(self._clock.now()):
+        for name in self._blame.end_due_quarantines(self._clock.now()):
             if name in self._ledger.workers:
                 self._ledger.change_state(name, "release")
 
@@ -47,5 +49,5 @@
             return False
         if not self._ledger.change_state(name, "quarantine"):
             return False
-        self._blame.quarantine(name, self._clock.now())
+        self._blame.record_quarantine(name, self._clock.now())
         return True
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -11,7 +11,7 @@
 from fuchsiadale.decision.constants import (
     RERUN_WAIT_S,
     RESULT_RETENTION_S,
-    SESSION_TIME_S,
+    SESSION_TIMEOUT_S,
     START_VALIDITY_S,
 )
 from fuchsiadale.decision.ledger import WorkerInfo, WorkerState
@@ -43,7 +43,7 @@
     since_s: float
 
 
-class Reconciliation:
+class Reconciler:
     """Applies worker reports to a partition.
 
     Parameters
@@ -63,7 +63,7 @@
         self._stranded: list[str] = []
         self._opened_s = clock.now()
 
-    def recover(self) -> None:
+    def recover_tasks(self) -> None:
         """Charge what the journal says may run, and hold what has to wait."""
         partition = self._partition
         for work in list(partition.book.works.values()):
@@ -103,9 +103,9 @@
         for name in set(ledger.workers) - listed:
             self._remove(name)
         for name in set(witnesses) - listed:
-            self._partition.authority.adopted(name)
+            self._partition.authority.record_adoption(name)
 
-    def adopted(self, name: str, report: WorkerReport, sent_s: float) -> None:
+    def process_adoption(self, name: str, report: WorkerReport, sent_s: float) -> None:
         """Take over a worker that accepted this epoch."""
         partition = self._partition
         self._hear(name, sent_s)
@@ -118,15 +118,15 @@
         self._settle_former_attempts(name, report)
         partition.ledger.change_state(name, "adopt")
         self._note_leaving(name, report)
-        partition.authority.adopted(name)
+        partition.authority.record_adoption(name)
 
-    def heartbeat(self, name: str, report: WorkerReport, sent_s: float) -> None:
+    def process_heartbeat(self, name: str, report: WorkerReport, sent_s: float) -> None:
         """Take the answer to a heartbeat that was sent at `sent_s`."""
         partition = self._partition
         if name not in partition.ledger.workers:
             return
         self._hear(name, sent_s)
-        partition.authority.acknowledged(name, sent_s)
+        partition.authority.record_acknowledgement(name, sent_s)
         for ended in report.ended:
             self._take_end(name, ended)
         partition.ledger.workers[name].boot_id = report.boot_id
@@ -140,7 +140,7 @@
         self._note_leaving(name, report)
         partition.ledger.set_usage(name, report.usage)
 
-    def check_silence(self) -> None:
+    def process_timeouts(self) -> None:
         """Close workers that fell silent, and end attempts whose leases lapsed."""
         now_s = self._clock.now()
         if self._stranded and now_s - self._opened_s > RERUN_WAIT_S:
@@ -149,12 +149,12 @@
             self._stranded.clear()
         for name, worker in self._partition.ledger.workers.items():
             silent_s = now_s - self._heard_s.get(name, self._opened_s)
-            if silent_s > SESSION_TIME_S:
+            if silent_s > SESSION_TIMEOUT_S:
                 self._partition.ledger.change_state(name, "fall_silent")
             if silent_s > RERUN_WAIT_S:
                 self._lose_all(name, list(worker.attempts.values()))
 
-    def expire_orphans(self) -> None:
+    def discard_expired_ends(self) -> None:
         """Let workers forget answers that nobody asked for in time."""
         now_s = self._clock.now()
         for attempt_id, answer in list(self._orphan_answers.items()):
--- a/src/fuchsiadale/decision/retry.py
+++ b/src/fuchsiadale/decision/retry.py
@@ -9,35 +9,35 @@
 from fuchsiadale.decision.constants import (
     RETRY_BACKOFF_INITIAL_S,
     RETRY_BACKOFF_MAX_S,
-    RETRY_BUDGET_FLOOR,
+    RETRY_BUDGET_INITIAL_TOKENS,
     RETRY_BUDGET_RATIO,
 )
 from fuchsiadale.decision.work import AttemptEnd
 
 
-class NextStep(Enum):
+class RetryDecision(Enum):
     """What follows the end of an attempt."""
 
     FINISH = "finish"
     FAIL = "fail"
     RETRY = "retry"
-    TELL_UNKNOWN = "tell_unknown"
+    FAIL_AS_UNKNOWN = "tell_unknown"
 
 
 # Keyed by how the attempt ended and whether the work is idempotent. An attempt that
 # ended LOST is known to run no more, but not whether it ran before.
-RETRY_TABLE: Mapping[tuple[AttemptEnd, bool], NextStep] = MappingProxyType(
+RETRY_TABLE: Mapping[tuple[AttemptEnd, bool], RetryDecision] = MappingProxyType(
     {
-        (AttemptEnd.SUCCEEDED, True): NextStep.FINISH,
-        (AttemptEnd.SUCCEEDED, False): NextStep.FINISH,
-        (AttemptEnd.FAILED, True): NextStep.RETRY,
-        (AttemptEnd.FAILED, False): NextStep.FAIL,
-        (AttemptEnd.STOPPED, True): NextStep.RETRY,
-        (AttemptEnd.STOPPED, False): NextStep.TELL_UNKNOWN,
-        (AttemptEnd.NOT_RUN, True): NextStep.RETRY,
-        (AttemptEnd.NOT_RUN, False): NextStep.RETRY,
-        (AttemptEnd.LOST, True): NextStep.RETRY,
-        (AttemptEnd.LOST, False): NextStep.TELL_UNKNOWN,
+        (AttemptEnd.SUCCEEDED, True): RetryDecision.FINISH,
+        (AttemptEnd.SUCCEEDED, False): RetryDecision.FINISH,
+        (AttemptEnd.FAILED, True): RetryDecision.RETRY,
+        (AttemptEnd.FAILED, False): RetryDecision.FAIL,
+        (AttemptEnd.STOPPED, True): RetryDecision.RETRY,
+        (AttemptEnd.STOPPED, False): RetryDecision.FAIL_AS_UNKNOWN,
+        (AttemptEnd.NOT_RUN, True): RetryDecision.RETRY,
+        (AttemptEnd.NOT_RUN, False): RetryDecision.RETRY,
+        (AttemptEnd.LOST, True): RetryDecision.RETRY,
+        (AttemptEnd.LOST, False): RetryDecision.FAIL_AS_UNKNOWN,
     }
 )
 
@@ -59,12 +59,12 @@
         Retries that may be made now.
     """
 
-    tokens: float = RETRY_BUDGET_FLOOR
+    tokens: float = RETRY_BUDGET_INITIAL_TOKENS
 
     def deposit(self, tasks: int) -> None:
         """Earn retries with new tasks."""
         earned = tasks * RETRY_BUDGET_RATIO
-        self.tokens = min(self.tokens + earned, RETRY_BUDGET_FLOOR + 1000.0)
+        self.tokens = min(self.tokens + earned, RETRY_BUDGET_INITIAL_TOKENS + 1000.0)
 
     def withdraw(self) -> bool:
         """Spend one retry; return whether there was one."""
--- a/src/fuchsiadale/decision/rows.py
+++ b/src/fuchsiadale/decision/rows.py
@@ -7,14 +7,14 @@
 from fuchsiadale.decision.events import JournalEvent
 
 MEMBER_PREFIX = "member/"
-ALIVE_PREFIX = "alive/"
+LIVENESS_PREFIX = "alive/"
 PARTITION_PREFIX = "partition/"
 JOURNAL_PREFIX = "journal/"
-STREAM_PREFIX = "stream/"
-TEAM_PREFIX = "team/"
+JOURNAL_MARKER_PREFIX = "stream/"
+TEAM_GRANTS_PREFIX = "team/"
 EPOCH_KEY = "epoch"
 CONFIG_HEAD_KEY = "config/head"
-CONFIG_PREFIX = "config/version/"
+CONFIG_VERSION_PREFIX = "config/version/"
 
 
 @frozen
@@ -46,7 +46,7 @@
 
 
 @frozen
-class Segment:
+class JournalSegment:
     """A part of a member's journal that holds events of a partition.
 
     Attributes
@@ -78,7 +78,7 @@
         The workers that the owner may place tasks on.
     snapshot : str
         Name of the object that holds the state before the segments; empty for none.
-    segments : tuple of Segment
+    segments : tuple of JournalSegment
         Where the events after the snapshot are recorded, in order.
     """
 
@@ -86,7 +86,7 @@
     epoch: int
     witnesses: tuple[str, ...] = ()
     snapshot: str = ""
-    segments: tuple[Segment, ...] = ()
+    segments: tuple[JournalSegment, ...] = ()
 
 
 @frozen
@@ -124,14 +124,14 @@
     return MEMBER_PREFIX + member
 
 
-def alive_key(member: str) -> str:
+def liveness_key(member: str) -> str:
     """Return the key of the row that a member's writes depend on."""
-    return ALIVE_PREFIX + member
+    return LIVENESS_PREFIX + member
 
 
-def stream_key(member: str) -> str:
+def journal_marker_key(member: str) -> str:
     """Return the key of the row that tells that a member has a journal."""
-    return STREAM_PREFIX + member
+    return JOURNAL_MARKER_PREFIX + member
 
 
 def partition_key(partition: str) -> str:
@@ -149,16 +149,16 @@
     return f"{journal_prefix(member)}{number:012d}"
 
 
-def journal_number(key: str) -> int:
+def journal_row_number(key: str) -> int:
     """Return the number of a journal row."""
     return int(key.rpartition("/")[2])
 
 
-def team_key(team: str) -> str:
+def team_grants_key(team: str) -> str:
     """Return the key of a team's grants."""
-    return TEAM_PREFIX + team
+    return TEAM_GRANTS_PREFIX + team
 
 
-def config_key(version: int) -> str:
+def config_version_key(version: int) -> str:
     """Return the key of one version of the configuration."""
-    return f"{CONFIG_PREFIX}{version:012d}"
+    return f"{CONFIG_VERSION_PREFIX}{version:012d}"
--- a/src/fuchsiadale/decision/session.py
+++ b/src/fuchsiadale/decision/session.py
@@ -10,7 +10,7 @@
 
 from attrs import frozen
 
-from fuchsiadale.decision.constants import SESSION_TIME_S, TASK_LEASE_S
+from fuchsiadale.decision.constants import SESSION_TIMEOUT_S, TASK_LEASE_S
 
 
 class SessionRefusal(Enum):
@@ -31,15 +31,15 @@
     ----------
     fencing : bool
         Orders of an older epoch are refused.
-    session : bool
+    session_timeout : bool
         Starts are refused without a recent heartbeat.
-    echo : bool
+    echoed_clock : bool
         Heartbeats renew from the clock reading they echo, not from their arrival.
     """
 
     fencing: bool = True
-    session: bool = True
-    echo: bool = True
+    session_timeout: bool = True
+    echoed_clock: bool = True
 
 
 class WorkerSession:
@@ -56,7 +56,7 @@
     def __init__(self, now_s: float, rules: SessionRules | None = None) -> None:
         self._rules = rules or SessionRules()
         self._epoch = 0
-        self._renewed_s = now_s - SESSION_TIME_S - TASK_LEASE_S
+        self._renewed_s = now_s - SESSION_TIMEOUT_S - TASK_LEASE_S
 
     @property
     def epoch(self) -> int:
@@ -70,9 +70,7 @@
         self._epoch = max(self._epoch, epoch)
         return None
 
-    def heartbeat(
-        self, epoch: int, echo_s: float, now_s: float
-    ) -> SessionRefusal | None:
+    def renew(self, epoch: int, echo_s: float, now_s: float) -> SessionRefusal | None:
         """Renew the session and the leases of its tasks.
 
         Parameters
@@ -86,7 +84,7 @@
         """
         if self._is_stale(epoch):
             return SessionRefusal.STALE_EPOCH
-        renewal_s = min(echo_s, now_s) if self._rules.echo else now_s
+        renewal_s = min(echo_s, now_s) if self._rules.echoed_clock else now_s
         self._renewed_s = max(self._renewed_s, renewal_s)
         return None
 
@@ -96,13 +94,13 @@
         """Return why a start is refused, or None if it may take effect."""
         if self._is_stale(epoch):
             return SessionRefusal.STALE_EPOCH
-        if self._rules.session and now_s - self._renewed_s > SESSION_TIME_S:
+        if self._rules.session_timeout and now_s - self._renewed_s > SESSION_TIMEOUT_S:
             return SessionRefusal.SESSION_LAPSED
         if now_s > valid_until_s:
             return SessionRefusal.START_EXPIRED
         return None
 
-    def are_leases_lapsed(self, now_s: float) -> bool:
+    def have_leases_expired(self, now_s: float) -> bool:
         """Tell whether the tasks must be ended for want of a renewal."""
         return now_s - self._renewed_s > TASK_LEASE_S
 
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -97,7 +97,7 @@
     teams: list[TeamView]
 
 
-def view_of_partition(partition: Partition) -> PartitionView:
+def build_partition_view(partition: Partition) -> PartitionView:
     """Return what is shown of a partition."""
     scheduler = partition.scheduler
     teams: list[TeamView] = []
@@ -129,7 +129,7 @@
     )
 
 
-def view_of(work: Work) -> WorkView:
+def build_work_view(work: Work) -> WorkView:
     """Return what is shown of a piece of work."""
     submission = work.submission
     tasks: list[TaskView] = []
--- a/src/fuchsiadale/decision/waiting.py
+++ b/src/fuchsiadale/decision/waiting.py
@@ -42,7 +42,7 @@
             Whether an earlier owner may have started it, so that it has to wait
             until nothing can run unseen.
         """
-        if is_held and not self._authority.may_rerun():
+        if is_held and not self._authority.may_rerun_unreported():
             self._held.append(task)
         elif task.eligible_at_s > self._clock.now():
             self._delayed.push(task)
@@ -58,7 +58,7 @@
 
     def release(self) -> None:
         """Hand over the tasks that need to wait for nothing but room."""
-        if self._held and self._authority.may_rerun():
+        if self._held and self._authority.may_rerun_unreported():
             for task in self._held:
                 self._scheduler.add(task)
             self._held.clear()
--- a/src/fuchsiadale/decision/workbook.py
+++ b/src/fuchsiadale/decision/workbook.py
@@ -14,11 +14,11 @@
 )
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.events import (
-    Accepted,
-    Cancelled,
-    Ended,
+    AcceptedEvent,
+    CancelledEvent,
+    EndedEvent,
     JournalEvent,
-    Planned,
+    PlannedEvent,
 )
 from fuchsiadale.decision.work import (
     Attempt,
@@ -50,9 +50,9 @@
     key: str
 
 
-def planned(attempt: Attempt) -> Planned:
+def planned(attempt: Attempt) -> PlannedEvent:
     """Return the event that records an attempt."""
-    return Planned(
+    return PlannedEvent(
         task_id=attempt.task_id,
         attempt_id=attempt.attempt_id,
         worker=attempt.worker,
@@ -61,7 +61,7 @@
     )
 
 
-def ended(task: Task, state: TaskState, end: AttemptEnd) -> Ended:
+def ended(task: Task, state: TaskState, end: AttemptEnd) -> EndedEvent:
     """Return the event that records the end of a task's attempt.
 
     Parameters
@@ -76,7 +76,7 @@
     attempt = task.attempt
     answer = task.answer
     is_recordable = answer is None or answer.is_recordable
-    return Ended(
+    return EndedEvent(
         task_id=task.task_id,
         attempt_id=attempt.attempt_id if attempt else "",
         worker=attempt.worker if attempt else "",
@@ -210,14 +210,14 @@
             The clock time that ages are counted from.
         """
         match event:
-            case Accepted(submission=submission):
+            case AcceptedEvent(submission=submission):
                 if submission.work_id not in self._works:
                     self.add(submission, now_s)
-            case Planned():
+            case PlannedEvent():
                 self._replay_planned(event)
-            case Ended():
+            case EndedEvent():
                 self._replay_ended(event, now_s)
-            case Cancelled(work_id=work_id, refusal=refusal):
+            case CancelledEvent(work_id=work_id, refusal=refusal):
                 work = self._works.get(work_id)
                 if work is not None:
                     work.cancelled = True
@@ -228,9 +228,9 @@
         for work in self._works.values():
             if not work.submission.is_journalled:
                 continue
-            yield Accepted(work.submission)
+            yield AcceptedEvent(work.submission)
             if work.cancelled and work.refusal is not None:
-                yield Cancelled(work.submission.work_id, work.refusal)
+                yield CancelledEvent(work.submission.work_id, work.refusal)
             for task in work.tasks:
                 yield from self._snapshot_task(task)
 
@@ -241,7 +241,7 @@
         elif attempt is not None:
             yield planned(attempt)
 
-    def _replay_planned(self, event: Planned) -> None:
+    def _replay_planned(self, event: PlannedEvent) -> None:
         task = self.task(event.task_id)
         if task is None or task.state.is_final:
             return
@@ -258,7 +258,7 @@
             boot_id=event.boot_id,
         )
 
-    def _replay_ended(self, event: Ended, now_s: float) -> None:
+    def _replay_ended(self, event: EndedEvent, now_s: float) -> None:
         task = self.task(event.task_id)
         if task is None or task.state.is_final:
             return
--- a/src/fuchsiadale/entry/answers.py
+++ b/src/fuchsiadale/entry/answers.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 from attrs import define
 
-from fuchsiadale.decision.errors import ErrorKind, Refusal, RunState
+from fuchsiadale.decision.errors import ErrorKind, ExecutionOutcome, Refusal
 from fuchsiadale.decision.views import TaskView, WorkView
 from fuchsiadale.decision.work import TaskState
 
@@ -29,8 +29,10 @@
 
 def refusal_answer(refusal: Refusal, work_id: str = "") -> web.Response:
     """Return the answer that the table gives for a refusal."""
-    answer = refusal.answer
-    body = JsonBody({"error": refusal.kind.value, "outcome": answer.run_state.value})
+    answer = refusal.response
+    body = JsonBody(
+        {"error": refusal.kind.value, "outcome": answer.execution_outcome.value}
+    )
     body.add("message", refusal.message)
     body.add("work_id", work_id or None)
     body.add("retry_after_s", answer.retry_after_s)
@@ -50,7 +52,7 @@
         message = "the work ran; its answer was too large to be kept"
         refusal = Refusal(ErrorKind.ANSWER_LOST, message)
         return refusal_answer(refusal, view.work_id)
-    body = JsonBody({"work_id": view.work_id, "outcome": RunState.RAN.value})
+    body = JsonBody({"work_id": view.work_id, "outcome": ExecutionOutcome.RAN.value})
     body.add("worker", task.worker)
     _add_answer(body, task.answer)
     return json_answer(body.fields)
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -23,7 +23,7 @@
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.freshness import ConfigFreshness
-from fuchsiadale.decision.rows import CONFIG_HEAD_KEY, ConfigHead, config_key
+from fuchsiadale.decision.rows import CONFIG_HEAD_KEY, ConfigHead, config_version_key
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.objects import ObjectStore
 from fuchsiadale.ports.table import (
@@ -100,7 +100,7 @@
             return
         if head.ok_value.version > self._document.version:
             await self._fetch(head.ok_value)
-        self.freshness.confirm_by_store(head.ok_value.version, sent_s)
+        self.freshness.record_store_answer(head.ok_value.version, sent_s)
 
     def apply(self, document: ConfigDocument) -> None:
         """Put a document in force unless one as new is."""
@@ -203,12 +203,12 @@
             return Err(_conflict(held.version if held is not None else 0))
         transaction = Transaction(
             writes=(
-                Write(config_key(version), name.encode()),
+                Write(config_version_key(version), name.encode()),
                 Write(CONFIG_HEAD_KEY, encode(ConfigHead(version, name))),
             ),
             conditions=(
                 Condition(CONFIG_HEAD_KEY, row.version if row else ABSENT),
-                Condition(config_key(version), ABSENT),
+                Condition(config_version_key(version), ABSENT),
             ),
         )
         outcome = await self._table.transact(transaction)
@@ -229,7 +229,7 @@
         """
         if failure is TableFailure.UNAVAILABLE:
             return Err(_store_unavailable())
-        found = await self._table.read(config_key(version))
+        found = await self._table.read(config_version_key(version))
         if isinstance(found, Err):
             message = (
                 "the answer of the store was lost; compare `config show` with"
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -11,8 +11,8 @@
 from fuchsiadale.codec import decode, encode
 from fuchsiadale.config.model import ConfigDocument
 from fuchsiadale.decision.clock import Clock
-from fuchsiadale.decision.freshness import PeerConfirmation
-from fuchsiadale.decision.membership import home_of
+from fuchsiadale.decision.freshness import PeerConfigStatus
+from fuchsiadale.decision.membership import preferred_member
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.entry.config_driver import ConfigDriver
 from fuchsiadale.entry.directory import Directory
@@ -143,10 +143,10 @@
             document = decode(reply.document, ConfigDocument)
             if isinstance(document, Ok):
                 self._config.apply(document.ok_value)
-        told = PeerConfirmation(
+        told = PeerConfigStatus(
             reply.config_version, reply.config_age_s, reply.store_reachable
         )
-        self._config.freshness.confirm_by_peer(client.member, told, sent_s)
+        self._config.freshness.record_peer_answer(client.member, told, sent_s)
         for use in reply.totals:
             self._totals[use.team] = _resources(use)
 
@@ -154,7 +154,7 @@
         by_home: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
         members = list(self._directory.members)
         for team, used in self._own_usage().items():
-            home = home_of(team, members)
+            home = preferred_member(team, members)
             if home is not None:
                 by_home[home][team] = used
         return by_home
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -12,14 +12,14 @@
 from fuchsiadale.config.model import ConfigDocument, TeamConfig
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.grants import (
-    CHUNKS_PER_LIMIT,
+    GRANT_CHUNKS_PER_LIMIT,
     TeamGrants,
-    adopt_limit,
-    shrink,
-    take,
+    apply_limit,
+    lower_grant,
+    raise_grant,
 )
 from fuchsiadale.decision.resources import NO_LIMIT, NO_RESOURCES, Resources
-from fuchsiadale.decision.rows import team_key
+from fuchsiadale.decision.rows import team_grants_key
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
@@ -151,7 +151,10 @@
     ) -> None:
         now_s = self._clock.now()
         # What a former owner started may still run where nobody has looked yet.
-        if now_s < held.retry_at_s or not driver.partition.authority.may_rerun():
+        if (
+            now_s < held.retry_at_s
+            or not driver.partition.authority.may_rerun_unreported()
+        ):
             return
         scheduler = driver.partition.scheduler
         wanted = scheduler.allowances[name].wanted
@@ -181,10 +184,10 @@
         """Bring the row to the limit in force and take what is wanted."""
 
         def change(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
-            adopted = adopt_limit(row, team.limit, version)
+            adopted = apply_limit(row, team.limit, version)
             if isinstance(adopted, Err):
                 return Err(TableFailure.CONFLICT)
-            return Ok(take(adopted.ok_value, driver.name, wanted))
+            return Ok(raise_grant(adopted.ok_value, driver.name, wanted))
 
         before = held.grant
         await self._change(driver, name, held, team.limit, version, change)
@@ -201,7 +204,7 @@
         driver.partition.scheduler.set_grant(name, keep)
 
         def change(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
-            return Ok(shrink(row, driver.name, keep))
+            return Ok(lower_grant(row, driver.name, keep))
 
         await self._change(driver, name, held, NO_LIMIT, held.limit_version, change)
 
@@ -215,7 +218,7 @@
     ) -> None:
         """Give back a grant that has been far above the usage for a while."""
         reserve = team.limit.scaled_down(
-            Resources(1, 1, 1, 1, 1), Resources(*[CHUNKS_PER_LIMIT] * 5)
+            Resources(1, 1, 1, 1, 1), Resources(*[GRANT_CHUNKS_PER_LIMIT] * 5)
         )
         keep = used + reserve if used != NO_RESOURCES else NO_RESOURCES
         if held.grant.fits_in(keep):
@@ -238,7 +241,7 @@
         change: Callable[[TeamGrants], Result[TeamGrants, TableFailure]],
     ) -> None:
         """Change a team's row by compare-and-swap and take the outcome."""
-        read = await self._table.read(team_key(name))
+        read = await self._table.read(team_grants_key(name))
         if isinstance(read, Err):
             held.retry_at_s = self._clock.now() + REFUSED_GRANT_DELAY_S
             return
@@ -256,9 +259,11 @@
             return
         if changed.ok_value != row or stored is None:
             transaction = Transaction(
-                writes=(Write(team_key(name), encode(changed.ok_value)),),
+                writes=(Write(team_grants_key(name), encode(changed.ok_value)),),
                 conditions=(
-                    Condition(team_key(name), stored.version if stored else ABSENT),
+                    Condition(
+                        team_grants_key(name), stored.version if stored else ABSENT
+                    ),
                 ),
             )
             outcome = await transact_surely(self._table, transaction)
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -12,8 +12,8 @@
 from fuchsiadale.decision.rows import (
     JournalEntry,
     JournalRow,
+    JournalSegment,
     PartitionRow,
-    Segment,
     partition_key,
 )
 from fuchsiadale.entry.identity import Identity
@@ -151,7 +151,7 @@
         if isinstance(written, Err):
             return
         former = self.row.snapshot
-        segment = Segment(self._identity.member, first)
+        segment = JournalSegment(self._identity.member, first)
         if await self._write_row(evolve(self.row, snapshot=name, segments=(segment,))):
             self._counters.add("ownership.snapshot")
             if former:
--- a/src/fuchsiadale/entry/janitor.py
+++ b/src/fuchsiadale/entry/janitor.py
@@ -8,14 +8,14 @@
 from result import Err, Ok
 
 from fuchsiadale.codec import decode
-from fuchsiadale.decision.membership import home_of
+from fuchsiadale.decision.membership import preferred_member
 from fuchsiadale.decision.rows import (
+    JOURNAL_MARKER_PREFIX,
     PARTITION_PREFIX,
-    STREAM_PREFIX,
     PartitionRow,
     journal_key,
+    journal_marker_key,
     journal_prefix,
-    stream_key,
 )
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.entry.journal import Journal
@@ -78,7 +78,7 @@
             self._member = member
             self._first_kept = 1
         await self._cut_own(min(bound, needed.get(member, bound)))
-        if home_of(HOME_KEY, self._members()) == member:
+        if preferred_member(HOME_KEY, self._members()) == member:
             await self._remove_orphaned(set(needed))
 
     async def _first_needed(self) -> dict[str, int] | None:
@@ -106,19 +106,19 @@
 
     async def _remove_orphaned(self, needed: set[str]) -> None:
         """Remove the journals of members that are gone and that nobody needs."""
-        streams = await self._table.scan(STREAM_PREFIX)
+        streams = await self._table.scan(JOURNAL_MARKER_PREFIX)
         if isinstance(streams, Err):
             return
         alive = set(self._members())
         for stream in streams.ok_value:
-            member = stream.key.removeprefix(STREAM_PREFIX)
+            member = stream.key.removeprefix(JOURNAL_MARKER_PREFIX)
             if member in alive or member in needed:
                 continue
             rows = await self._table.scan(journal_prefix(member))
             if isinstance(rows, Ok) and await self._delete(
                 [row.key for row in rows.ok_value]
             ):
-                await self._delete([stream_key(member)])
+                await self._delete([journal_marker_key(member)])
 
     async def _delete(self, keys: list[str]) -> bool:
         """Delete rows in batches; return whether all of them are gone."""
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -9,12 +9,17 @@
 from result import Err, Ok
 
 from fuchsiadale.codec import encode
-from fuchsiadale.decision.events import Accepted, Ended, JournalEvent, Planned
+from fuchsiadale.decision.events import (
+    AcceptedEvent,
+    EndedEvent,
+    JournalEvent,
+    PlannedEvent,
+)
 from fuchsiadale.decision.rows import (
     JournalEntry,
     JournalRow,
-    alive_key,
     journal_key,
+    liveness_key,
 )
 from fuchsiadale.decision.work import work_id_of
 from fuchsiadale.entry.identity import Identity
@@ -190,7 +195,7 @@
             writes=(Write(key, encode(JournalRow(batch.entries))),),
             conditions=(
                 Condition(key, ABSENT),
-                Condition(alive_key(member), alive_version),
+                Condition(liveness_key(member), alive_version),
             ),
             nonce=f"{member}/{self._next_number}",
         )
@@ -224,9 +229,9 @@
 
 def _work_of(event: JournalEvent) -> str:
     match event:
-        case Accepted(submission=submission):
+        case AcceptedEvent(submission=submission):
             return submission.work_id
-        case Planned(task_id=task_id) | Ended(task_id=task_id):
+        case PlannedEvent(task_id=task_id) | EndedEvent(task_id=task_id):
             return work_id_of(task_id)
     return event.work_id
 
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.decision.errors import ErrorKind, Refusal
-from fuchsiadale.decision.membership import partition_of_work
+from fuchsiadale.decision.membership import partition_of_work_id
 from fuchsiadale.decision.views import PartitionView, WorkView
 from fuchsiadale.decision.work import Submission
 from fuchsiadale.entry.partition_driver import PartitionDriver
@@ -32,7 +32,7 @@
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
         """Submit work for a member; return the id of the work accepted."""
-        driver = self._find(partition_of_work(submission.work_id))
+        driver = self._find(partition_of_work_id(submission.work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.submit(submission, reply_to)
@@ -41,14 +41,14 @@
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
         """End work, unless the caller of another member waits for it."""
-        driver = self._find(partition_of_work(work_id))
+        driver = self._find(partition_of_work_id(work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.cancel(work_id, reason, member)
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
-        driver = self._find(partition_of_work(work_id))
+        driver = self._find(partition_of_work_id(work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.show(work_id, hold_s)
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -10,14 +10,14 @@
 
 from fuchsiadale.codec import decode, encode
 from fuchsiadale.decision.clock import Clock
-from fuchsiadale.decision.constants import MEMBER_RENEWAL_S
-from fuchsiadale.decision.membership import MemberObserver, SeenMember
+from fuchsiadale.decision.constants import MEMBER_RENEWAL_INTERVAL_S
+from fuchsiadale.decision.membership import MemberLeaseTracker, VersionedMemberRow
 from fuchsiadale.decision.rows import (
     MEMBER_PREFIX,
     MemberRow,
-    alive_key,
+    journal_marker_key,
+    liveness_key,
     member_key,
-    stream_key,
 )
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.metrics import Counters
@@ -69,7 +69,7 @@
         self._counters = counters
         self._on_renewed = on_renewed
         self._on_lost = on_lost
-        self._observer = MemberObserver(clock)
+        self._observer = MemberLeaseTracker(clock)
         self._renewals = 0
         self._member_version = 0
         self.draining = False
@@ -91,7 +91,7 @@
                 await self.renew()
             else:
                 await self.join()
-            await asyncio.sleep(MEMBER_RENEWAL_S)
+            await asyncio.sleep(MEMBER_RENEWAL_INTERVAL_S)
 
     async def join(self) -> None:
         """Write this member's rows for the first time."""
@@ -101,10 +101,10 @@
         transaction = Transaction(
             writes=(
                 Write(member_key(member), encode(row)),
-                Write(alive_key(member), b""),
-                Write(stream_key(member), b""),
+                Write(liveness_key(member), b""),
+                Write(journal_marker_key(member), b""),
             ),
-            conditions=(Condition(alive_key(member), ABSENT),),
+            conditions=(Condition(liveness_key(member), ABSENT),),
         )
         outcome = await transact_surely(self._table, transaction)
         if isinstance(outcome, Err):
@@ -122,7 +122,7 @@
         row = self._identity.row(self._renewals, self.draining)
         transaction = Transaction(
             writes=(Write(member_key(member), encode(row)),),
-            conditions=(Condition(alive_key(member), self._identity.alive_version),),
+            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
         )
         outcome = await transact_surely(self._table, transaction)
         if isinstance(outcome, Ok):
@@ -144,26 +144,26 @@
         """Read the members' rows; return whether the store answered."""
         rows = await self._table.scan(MEMBER_PREFIX)
         if isinstance(rows, Err):
-            self._observer.lost_sight()
+            self._observer.restart_leases()
             return False
-        seen: list[SeenMember] = []
+        seen: list[VersionedMemberRow] = []
         for row in rows.ok_value:
             decoded = decode(row.value, MemberRow)
             if isinstance(decoded, Ok):
-                seen.append(SeenMember(decoded.ok_value, row.version))
-        self._observer.observe(seen)
+                seen.append(VersionedMemberRow(decoded.ok_value, row.version))
+        self._observer.update(seen)
         return True
 
     async def declare_dead(self) -> None:
         """Remove the members whose leases expired before this one's eyes."""
-        for seen in self._observer.expired():
+        for seen in self._observer.expired_members():
             member = seen.row.member
             if member == self._identity.member:
                 continue
             transaction = Transaction(
                 writes=(
                     Write(member_key(member), None),
-                    Write(alive_key(member), None),
+                    Write(liveness_key(member), None),
                 ),
                 conditions=(Condition(member_key(member), seen.version),),
             )
@@ -178,15 +178,15 @@
         transaction = Transaction(
             writes=(
                 Write(member_key(member), None),
-                Write(alive_key(member), None),
+                Write(liveness_key(member), None),
             ),
-            conditions=(Condition(alive_key(member), self._identity.alive_version),),
+            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
         )
         await self._table.transact(transaction)
         self._identity.alive_version = 0
 
     async def _is_dead(self) -> bool:
-        key = alive_key(self._identity.member)
+        key = liveness_key(self._identity.member)
         found = await self._table.read(key)
         if isinstance(found, Err):
             return False
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -11,7 +11,7 @@
 from fuchsiadale.backend.server import BackendConnector
 from fuchsiadale.config.model import ConfigDocument
 from fuchsiadale.config.settings import Settings
-from fuchsiadale.decision.views import view_of
+from fuchsiadale.decision.views import build_work_view
 from fuchsiadale.decision.work import Work
 from fuchsiadale.entry.config_driver import ConfigDriver
 from fuchsiadale.entry.directory import Directory
@@ -286,7 +286,7 @@
     def _send_result(
         self, member: str, work: Work, delivered: Callable[[], None]
     ) -> None:
-        view = view_of(work)
+        view = build_work_view(work)
         if member == self._identity.member:
             self._router.deliver(view)
             delivered()
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -12,14 +12,14 @@
 from fuchsiadale.codec import decode, encode
 from fuchsiadale.config.model import Configuration, PoolConfig
 from fuchsiadale.decision.authority import Authority
-from fuchsiadale.decision.membership import partition_name, preferred_owners
+from fuchsiadale.decision.membership import assign_owners, partition_name
 from fuchsiadale.decision.rows import (
     EPOCH_KEY,
     PARTITION_PREFIX,
     EpochRow,
+    JournalSegment,
     PartitionRow,
-    Segment,
-    alive_key,
+    liveness_key,
     partition_key,
 )
 from fuchsiadale.entry.directory import Directory, Owner
@@ -111,7 +111,7 @@
         """Tell every partition that the member's lease was renewed."""
         self._renewal_sent_s = sent_s
         for hosted in self._hosted.values():
-            hosted.authority.lease_renewed(sent_s)
+            hosted.authority.record_lease_renewal(sent_s)
 
     def wake(self) -> None:
         """Look at the table soon."""
@@ -215,7 +215,7 @@
             return
         pools = _partitions_of(configuration)
         members = self._membership.members
-        preferred = preferred_owners(pools, members)
+        preferred = assign_owners(pools, members)
         me = self._identity.member
         for name in set(self._hosted) - set(pools):
             await self._hand_over(self._hosted[name])
@@ -271,7 +271,7 @@
                 Condition(partition_key(name), reading.versions.get(name, ABSENT)),
                 Condition(EPOCH_KEY, stored.version if stored else ABSENT),
                 Condition(
-                    alive_key(self._identity.member), self._identity.alive_version
+                    liveness_key(self._identity.member), self._identity.alive_version
                 ),
             ),
         )
@@ -292,7 +292,7 @@
         row: PartitionRow | None,
         epoch: int,
     ) -> PartitionRow:
-        segment = Segment(self._identity.member, self._tools.journal.next_number)
+        segment = JournalSegment(self._identity.member, self._tools.journal.next_number)
         if row is None:
             listed = self._worker_list.of_partition(pool, config.slices, name)
             witnesses = tuple(sorted(info.name for info in listed))
@@ -319,7 +319,7 @@
             self._tools.clock, row.witnesses, taken_over, config.fencing
         )
         if self._renewal_sent_s is not None:
-            authority.lease_renewed(self._renewal_sent_s)
+            authority.record_lease_renewal(self._renewal_sent_s)
         events = await self._state.read(name, row)
         while isinstance(events, Err):
             log_message("recovery_failed", partition=name, error=events.err_value)
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -18,12 +18,12 @@
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.views import (
     PartitionView,
     WorkView,
-    view_of,
-    view_of_partition,
+    build_partition_view,
+    build_work_view,
 )
 from fuchsiadale.decision.work import Attempt, Submission, Work, WorkKind
 from fuchsiadale.entry.journal import Ticket
@@ -66,7 +66,7 @@
         on_stale: Callable[[str], None],
     ) -> None:
         self.partition = Partition(name, epoch, tools.clock, authority, weights)
-        self.reconciliation = Reconciliation(self.partition, tools.clock)
+        self.reconciliation = Reconciler(self.partition, tools.clock)
         self.events_since_snapshot = 0
         self._tools = tools
         self._on_stale = on_stale
@@ -106,7 +106,7 @@
         self.set_workers(workers, witnesses)
         for event in events:
             self.partition.book.replay(event, self.partition.epoch, now_s)
-        self.reconciliation.recover()
+        self.reconciliation.recover_tasks()
         self._supervisor.start("tick", self._tick)
 
     def set_workers(
@@ -196,7 +196,7 @@
         if not is_request and not await self._is_recorded():
             message = f"the end of job {work_id} is under way, but not on record yet"
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
-        return Ok(view_of(work))
+        return Ok(build_work_view(work))
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
@@ -207,16 +207,16 @@
             watcher: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._watchers.setdefault(work_id, []).append(watcher)
             await asyncio.wait([watcher], timeout=hold_s)
-        return Ok(view_of(work))
+        return Ok(build_work_view(work))
 
     def inspect(self) -> PartitionView:
         """Return a view of the partition for operators."""
-        return view_of_partition(self.partition)
+        return build_partition_view(self.partition)
 
     def list_team(self, team: str) -> list[WorkView]:
         """Return views of a team's jobs."""
         return [
-            view_of(work)
+            build_work_view(work)
             for work in self.partition.book.works.values()
             if work.submission.team == team
             and work.submission.kind is not WorkKind.REQUEST
@@ -298,13 +298,13 @@
         expires_s = self._tools.clock.now() + EXPIRY_PERIOD_S
         while True:
             await asyncio.sleep(TICK_S)
-            self.reconciliation.check_silence()
+            self.reconciliation.process_timeouts()
             if self._tools.journal.is_failing:
                 self._start_unrecorded()
             if self._tools.clock.now() >= expires_s:
                 expires_s += EXPIRY_PERIOD_S
                 self.partition.book.expire(self._tools.clock.now())
-                self.reconciliation.expire_orphans()
+                self.reconciliation.discard_expired_ends()
             self.kick()
 
     def _pump(self) -> None:
--- a/src/fuchsiadale/entry/recovery.py
+++ b/src/fuchsiadale/entry/recovery.py
@@ -8,11 +8,11 @@
 from fuchsiadale.decision.events import JournalEvent
 from fuchsiadale.decision.rows import (
     JournalRow,
+    JournalSegment,
     PartitionRow,
-    Segment,
     journal_key,
-    journal_number,
     journal_prefix,
+    journal_row_number,
 )
 from fuchsiadale.ports.objects import ObjectStore
 from fuchsiadale.ports.table import TableService
@@ -65,7 +65,7 @@
         await self._objects.delete(name)
 
     async def _read_segment(
-        self, partition: str, segment: Segment
+        self, partition: str, segment: JournalSegment
     ) -> Result[list[JournalEvent], str]:
         events: list[JournalEvent] = []
         rows = await self._table.scan(
@@ -75,7 +75,7 @@
         if isinstance(rows, Err):
             return Err(f"journal of {segment.member} cannot be read")
         for row in rows.ok_value:
-            if segment.last is not None and journal_number(row.key) > segment.last:
+            if segment.last is not None and journal_row_number(row.key) > segment.last:
                 break
             decoded = decode(row.value, JournalRow)
             if isinstance(decoded, Err):
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -12,8 +12,8 @@
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.membership import (
     partition_name,
-    partition_of_work,
-    slice_of,
+    partition_of_work_id,
+    slice_index_of,
 )
 from fuchsiadale.decision.views import PartitionView, WorkView
 from fuchsiadale.decision.work import Submission
@@ -46,7 +46,7 @@
 
 def new_work_id(pool: str, slices: int, team: str, key: str, unique: str) -> str:
     """Return an id for work, in the slice that its key or else `unique` selects."""
-    index = slice_of(f"{team}/{key}" if key else unique, slices)
+    index = slice_index_of(f"{team}/{key}" if key else unique, slices)
     return f"{partition_name(pool, index)}.{unique}"
 
 
@@ -264,7 +264,7 @@
     ) -> Result[WorkView, Refusal]:
         """Ask the owner of some work, and again while the owner changes."""
         give_up_s = self._clock.now() + SHOW_DEADLINE_S
-        if "." not in partition_of_work(work_id):
+        if "." not in partition_of_work_id(work_id):
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         last = Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
         while self._clock.now() < give_up_s:
@@ -280,7 +280,7 @@
         return Err(last)
 
     def _owner_of(self, work_id: str) -> Owner | None:
-        return self._directory.owners.get(partition_of_work(work_id))
+        return self._directory.owners.get(partition_of_work_id(work_id))
 
     def _gateway_of(self, work_id: str) -> Gateway | None:
         owner = self._owner_of(work_id)
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -19,9 +19,9 @@
 from fuchsiadale.backend.server import BackendServer, CallFailure
 from fuchsiadale.decision.actions import StopOrder
 from fuchsiadale.decision.clock import Clock
-from fuchsiadale.decision.constants import HEARTBEAT_HOLD_S, START_VALIDITY_S
+from fuchsiadale.decision.constants import HEARTBEAT_MAX_HOLD_S, START_VALIDITY_S
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.reports import WorkerReport
 from fuchsiadale.decision.session import SessionRefusal
 from fuchsiadale.decision.work import Attempt, AttemptEnd, TaskState
@@ -51,7 +51,7 @@
         Its backend server.
     partition : Partition
         The partition.
-    reconciliation : Reconciliation
+    reconciliation : Reconciler
         Takes the worker's reports.
     clock : Clock
         The clock.
@@ -69,7 +69,7 @@
         address: str,
         server: BackendServer,
         partition: Partition,
-        reconciliation: Reconciliation,
+        reconciliation: Reconciler,
         clock: Clock,
         counters: Counters,
         on_change: Callback,
@@ -110,7 +110,7 @@
         while not await self._adopt():
             await asyncio.sleep(CALL_RETRY_DELAY_S)
         while True:
-            if not await self._heartbeat(HEARTBEAT_HOLD_S):
+            if not await self._heartbeat(HEARTBEAT_MAX_HOLD_S):
                 await asyncio.sleep(CALL_RETRY_DELAY_S)
 
     async def send_orders(self) -> None:
@@ -137,7 +137,7 @@
         # The session opens with a heartbeat that echoes the worker's clock.
         if not await self._heartbeat(0.0, is_open=False):
             return False
-        self._reconciliation.adopted(self._name, report, sent_s)
+        self._reconciliation.process_adoption(self._name, report, sent_s)
         self._on_change()
         return True
 
@@ -160,7 +160,7 @@
         report = answer.ok_value
         self._take_reading(report)
         if is_open:
-            self._reconciliation.heartbeat(self._name, report, sent_s)
+            self._reconciliation.process_heartbeat(self._name, report, sent_s)
             self._received_through = report.ended_through
             self._on_change()
         return True
--- a/src/fuchsiadale/entry/workers_driver.py
+++ b/src/fuchsiadale/entry/workers_driver.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from fuchsiadale.decision.ledger import WorkerInfo
-from fuchsiadale.decision.membership import partition_name, slice_of
+from fuchsiadale.decision.membership import partition_name, slice_index_of
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.hosts import HostList
@@ -98,6 +98,6 @@
         partitions: defaultdict[str, list[WorkerInfo]] = defaultdict(list)
         for info in self._workers.values():
             if info.pool == cut.pool:
-                index = slice_of(info.name, cut.slices)
+                index = slice_index_of(info.name, cut.slices)
                 partitions[partition_name(cut.pool, index)].append(info)
         return dict(partitions)
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -169,7 +169,7 @@
         self, order: HeartbeatOrder
     ) -> Result[ReportMessage, SessionRefusal]:
         """Renew the session; answer when something ended or the hold is over."""
-        refusal = self._session.heartbeat(order.epoch, order.echo_s, self._clock.now())
+        refusal = self._session.renew(order.epoch, order.echo_s, self._clock.now())
         if refusal is not None:
             return Err(refusal)
         for attempt_id in order.acknowledged:
@@ -203,7 +203,7 @@
         """End every attempt when its lease has lapsed."""
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
-            if self._session.are_leases_lapsed(self._clock.now()):
+            if self._session.have_leases_expired(self._clock.now()):
                 for attempt_id in list(self._runs):
                     self._end(attempt_id, AttemptEnd.LOST, b"")
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -6,7 +6,7 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.reports import WorkerReport
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.work import (
@@ -76,15 +76,15 @@
         infos = [make_worker(index, capacity) for index in range(workers)]
         names = [info.name for info in infos]
         self.authority = Authority(self.clock, names, taken_over=False)
-        self.authority.lease_renewed(self.clock.now())
+        self.authority.record_lease_renewal(self.clock.now())
         self.partition = Partition(PARTITION, epoch, self.clock, self.authority)
-        self.reconciliation = Reconciliation(self.partition, self.clock)
+        self.reconciliation = Reconciler(self.partition, self.clock)
         self.reconciliation.set_workers(infos, names)
         for name in names:
             report = WorkerReport(clock_s=1.0, boot_id="boot-1")
-            self.reconciliation.adopted(name, report, self.clock.now())
+            self.reconciliation.process_adoption(name, report, self.clock.now())
 
     def advance(self, seconds: float) -> None:
         """Let time pass while the member's lease is kept."""
         self.clock.advance(seconds)
-        self.authority.lease_renewed(self.clock.now())
+        self.authority.record_lease_renewal(self.clock.now())
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -109,7 +109,7 @@
         """Let time pass; workers end a task whose lease has lapsed."""
         self.clock.advance(seconds)
         for name, worker in self.workers.items():
-            if worker.session.are_leases_lapsed(self._worker_clock(name)):
+            if worker.session.have_leases_expired(self._worker_clock(name)):
                 worker.runs = False
 
     def renew(self, name: str) -> None:
@@ -119,7 +119,7 @@
             host.authority.revoke()
             return
         self.member_changed_s = self.clock.now()
-        host.authority.lease_renewed(self.clock.now())
+        host.authority.record_lease_renewal(self.clock.now())
 
     def take(self, name: str) -> bool:
         """Take the partition if its owner's row stood unchanged for a lease."""
@@ -164,7 +164,7 @@
         if message.kind == "adopt":
             refusal = worker.session.adopt(message.epoch)
         elif message.kind == "heartbeat":
-            refusal = worker.session.heartbeat(message.epoch, message.echo_s, now_s)
+            refusal = worker.session.renew(message.epoch, message.echo_s, now_s)
         else:
             refusal = worker.session.check_start(
                 message.epoch, message.valid_until_s, now_s
@@ -193,9 +193,9 @@
         heard_s = host.heard_s.get(message.worker, message.sent_s)
         host.heard_s[message.worker] = max(heard_s, message.sent_s)
         if message.kind == "adopt":
-            host.authority.adopted(message.worker)
+            host.authority.record_adoption(message.worker)
         elif message.kind == "heartbeat":
-            host.authority.acknowledged(message.worker, message.sent_s)
+            host.authority.record_acknowledgement(message.worker, message.sent_s)
         if message.kind != "start" and runs:
             host.runs_on = message.worker
 
@@ -203,7 +203,7 @@
         """Tell whether the host would start the task now."""
         if not host.authority.may_act():
             return False
-        if host.epoch > 1 and not host.authority.may_rerun():
+        if host.epoch > 1 and not host.authority.may_rerun_unreported():
             return False
         if host.runs_on is None:
             return True
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from result import Err, Result
 
-from fuchsiadale.decision.errors import Refusal, RunState
+from fuchsiadale.decision.errors import ExecutionOutcome, Refusal
 from fuchsiadale.decision.views import WorkView
 from fuchsiadale.decision.work import Program, Submission, TaskState, WorkKind
 from fuchsiadale.standin.worker import Observation
@@ -113,17 +113,17 @@
         runs: list[Observation],
     ) -> None:
         if isinstance(outcome, Err):
-            state = outcome.err_value.answer.run_state
+            state = outcome.err_value.response.execution_outcome
         elif outcome.ok_value.tasks[0].state is TaskState.SUCCEEDED:
-            state = RunState.RAN
+            state = ExecutionOutcome.RAN
             answer = json.loads(submission.program.payload)["answer"]
             assert outcome.ok_value.tasks[0].answer == answer.encode()
         else:
             assert outcome.ok_value.refusal is not None
-            state = outcome.ok_value.refusal.answer.run_state
-        if state is RunState.RAN:
+            state = outcome.ok_value.refusal.response.execution_outcome
+        if state is ExecutionOutcome.RAN:
             assert len(runs) >= 1
-        if state is RunState.NOT_RUN:
+        if state is ExecutionOutcome.NOT_RUN:
             assert runs == []
 
     async def _call(self, number: int) -> None:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,7 +8,7 @@
 import pytest
 from attrs import evolve
 
-from fuchsiadale.decision.errors import ErrorKind, RunState
+from fuchsiadale.decision.errors import ErrorKind, ExecutionOutcome
 from fuchsiadale.decision.ledger import WorkerState
 from fuchsiadale.decision.work import Program, TaskState, WorkKind
 from tests.builders import SMALL, make_submission, make_worker
@@ -112,7 +112,7 @@
             view = (await entry.router.run_request(late)).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.TIMEOUT
-            assert view.refusal.answer.run_state is RunState.NOT_RUN
+            assert view.refusal.response.execution_outcome is ExecutionOutcome.NOT_RUN
             await asyncio.gather(*blocking)
             assert cluster.runs_of(late.work_id + "/") == []
 
--- a/tests/test_lease_rules.py
+++ b/tests/test_lease_rules.py
@@ -174,22 +174,22 @@
     (
         "session and start validity",
         start_is_late,
-        Rules(session=SessionRules(session=False), start_validity=False),
+        Rules(session=SessionRules(session_timeout=False), start_validity=False),
     ),
     (
         "echo",
         heartbeats_are_late_one_after_another,
-        Rules(session=SessionRules(echo=False)),
+        Rules(session=SessionRules(echoed_clock=False)),
     ),
     (
         "witness",
         former_owner_reaches_one_worker,
-        Rules(authority=AuthorityRules(witness=False)),
+        Rules(authority=AuthorityRules(witness_acknowledgement=False)),
     ),
     (
         "majority",
         former_owner_reaches_one_worker,
-        Rules(authority=AuthorityRules(majority=False)),
+        Rules(authority=AuthorityRules(witness_majority=False)),
     ),
     (
         "rerun wait",
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,9 +12,9 @@
 from fuchsiadale.config.located import SourceFile
 from fuchsiadale.decision.grants import (
     TeamGrants,
-    adopt_limit,
-    shrink,
-    take,
+    apply_limit,
+    lower_grant,
+    raise_grant,
 )
 from fuchsiadale.decision.resources import (
     NO_RESOURCES,
@@ -85,10 +85,10 @@
         """Run more tasks, taking a greater grant first if needed."""
         wanted = self.running[partition] + count
         if wanted > self.known[partition]:
-            adopted = adopt_limit(self.row, tasks(self.limit), self.version)
+            adopted = apply_limit(self.row, tasks(self.limit), self.version)
             if isinstance(adopted, Ok):
                 need = evolve(NO_RESOURCES, slots=wanted)
-                self.row = take(adopted.ok_value, partition, need)
+                self.row = raise_grant(adopted.ok_value, partition, need)
             if not is_answered:
                 return
             self.read(partition)
@@ -98,7 +98,7 @@
         """Return what is not used; the owner lowers its own bound first."""
         keep = self.running[partition]
         self.known[partition] = min(self.known[partition], keep)
-        self.row = shrink(self.row, partition, evolve(tasks(keep), slots=keep))
+        self.row = lower_grant(self.row, partition, evolve(tasks(keep), slots=keep))
         if is_answered:
             self.read(partition)
 
@@ -106,13 +106,15 @@
         """Lower or raise the limit; every owner learns of it and comes down."""
         self.limit = limit
         self.version += 1
-        adopted = adopt_limit(self.row, tasks(limit), self.version)
+        adopted = apply_limit(self.row, tasks(limit), self.version)
         assert isinstance(adopted, Ok)
         self.row = adopted.ok_value
         for partition in PARTITIONS:
             self.read(partition)
             if partition in self.row.ceilings:
-                self.row = shrink(self.row, partition, self.row.ceilings[partition])
+                self.row = lower_grant(
+                    self.row, partition, self.row.ceilings[partition]
+                )
 
 
 @settings(derandomize=True, max_examples=500, deadline=None)
@@ -133,12 +135,12 @@
         else:
             world.set_limit(count)
         assert sum(world.running.values()) <= world.limit
-        assert world.row.granted.slots <= world.limit
+        assert world.row.total_granted.slots <= world.limit
 
 
 def test_older_configuration_cannot_raise_a_limit() -> None:
     row = TeamGrants(tasks(3), limit_version=7)
-    assert isinstance(adopt_limit(row, tasks(100), 6), Err)
+    assert isinstance(apply_limit(row, tasks(100), 6), Err)
 
 
 LIMITED = """\
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,8 +14,8 @@
 from fuchsiadale.decision.rows import (
     JournalEntry,
     JournalRow,
+    journal_marker_key,
     journal_prefix,
-    stream_key,
 )
 from fuchsiadale.decision.work import AttemptEnd, Program, TaskState, WorkKind
 from fuchsiadale.decision.workbook import WorkBook
@@ -180,6 +180,6 @@
             with patch.object(hosted_partition, "MAX_SEGMENTS", 1):
                 await asyncio.sleep(60.0)
             assert cluster.state.scan(journal_prefix(member), "") == []
-            assert stream_key(member) not in cluster.state.rows
+            assert journal_marker_key(member) not in cluster.state.rows
 
     run_virtually(session())
