--- a/src/fuchsiadale/decision/authority.py
+++ b/src/fuchsiadale/decision/authority.py
@@ -1,4 +1,4 @@
-"""Whether the owner of a partition may act for it now."""
+"""Decides whether the owner of a partition may place and start tasks now."""
 
 from __future__ import annotations
 
@@ -17,18 +17,21 @@
 
 @frozen
 class AuthorityRules:
-    """Which rules are in force; a test switches them off one by one.
+    """Which rules an owner follows; tests disable them one by one.
 
     Attributes
     ----------
     witness_acknowledgement : bool
-        Without a lease, acting needs recent acknowledgements of witnesses.
+        Whether an owner without a lease needs recent acknowledgements of witnesses.
     witness_majority : bool
-        Adoption and acknowledgement need a majority of the witness set, not one.
+        Whether adoption and acknowledgement need a majority of the witnesses instead
+        of a single one.
     takeover_wait : bool
-        A taker waits until acknowledgements of the former owner have expired.
+        Whether a new owner waits until the acknowledgements that the former owner
+        received have expired.
     rerun_wait : bool
-        What may run on a worker never adopted is re-run only after its leases.
+        Whether a task that may run on a worker that the owner has not adopted is run
+        again only after the leases on that worker have expired.
     """
 
     witness_acknowledgement: bool = True
@@ -38,20 +41,25 @@
 
 
 class Authority:
-    """An owner's right to act for one partition in one epoch.
+    """The authority of an owner over one partition in one epoch.
+
+    An owner may act while it holds its member lease. Without the lease it may act while
+    a majority of the witnesses, the workers in the row of the partition, acknowledge
+    its heartbeats.
 
     Parameters
     ----------
     clock : Clock
         The clock.
     witnesses : iterable of str
-        The workers in the partition's row.
+        The workers in the row of the partition.
     taken_over : bool
-        Whether the former owner was declared dead instead of handing over.
+        Whether the former owner was declared dead; False if it handed the partition
+        over.
     fencing : bool
         Whether the backend servers compare epochs.
     rules : AuthorityRules, optional
-        Which rules are in force.
+        The rules to follow; all by default.
     """
 
     def __init__(
@@ -64,15 +72,15 @@
     ) -> None:
         self._clock = clock
         self._witnesses = frozenset(witnesses)
-        self._proposed: frozenset[str] | None = None
+        self._proposed_witnesses: frozenset[str] | None = None
         self._taken_over = taken_over
         self._fencing = fencing
         self._rules = rules or AuthorityRules()
-        self._taken_at_s = clock.now()
-        self._majority_at_s: float | None = None
-        self._adopted: set[str] = set()
-        self._acknowledged_s: dict[str, float] = {}
-        self._lease_sent_s: float | None = None
+        self._acquired_at_s = clock.now()
+        self._majority_adopted_at_s: float | None = None
+        self._adopted_workers: set[str] = set()
+        self._last_acknowledged_sent_s: dict[str, float] = {}
+        self._lease_renewal_sent_s: float | None = None
         self._revoked = False
 
     @property
@@ -81,94 +89,106 @@
         return self._revoked
 
     def revoke(self) -> None:
-        """Give up the partition for good."""
+        """Give up the authority over the partition permanently."""
         self._revoked = True
 
     def record_lease_renewal(self, sent_s: float) -> None:
-        """Note a renewal of the member row that was sent at `sent_s`."""
-        if self._lease_sent_s is None or sent_s > self._lease_sent_s:
-            self._lease_sent_s = sent_s
+        """Record a successful renewal of the member row that was sent at `sent_s`."""
+        if self._lease_renewal_sent_s is None or sent_s > self._lease_renewal_sent_s:
+            self._lease_renewal_sent_s = sent_s
 
     def record_adoption(self, worker: str) -> None:
-        """Note a worker that accepted this epoch, or that is known to have gone."""
-        self._adopted.add(worker)
-        seen = len(self._witnesses & self._adopted)
-        if self._majority_at_s is None and self._is_quorum(seen, self._witnesses):
-            self._majority_at_s = self._clock.now()
+        """Record that a worker accepted this epoch or is known to have gone."""
+        self._adopted_workers.add(worker)
+        adopted_count = len(self._witnesses & self._adopted_workers)
+        if self._majority_adopted_at_s is None and self._is_quorum(
+            adopted_count, self._witnesses
+        ):
+            self._majority_adopted_at_s = self._clock.now()
 
     def record_acknowledgement(self, worker: str, sent_s: float) -> None:
-        """Note a worker's answer to a heartbeat that was sent at `sent_s`."""
-        earlier_s = self._acknowledged_s.get(worker, sent_s)
-        self._acknowledged_s[worker] = max(earlier_s, sent_s)
+        """Record that a worker answered a heartbeat that was sent at `sent_s`."""
+        previous_s = self._last_acknowledged_sent_s.get(worker, sent_s)
+        self._last_acknowledged_sent_s[worker] = max(previous_s, sent_s)
 
     def propose_witnesses(self, witnesses: Iterable[str]) -> None:
-        """Note that the row's witness set may change now.
+        """Record that the witness set in the row may become `witnesses`.
 
-        Until it is confirmed a quorum of both sets is needed, since a taker may read
-        either of them.
+        Until the change is confirmed, acting needs a quorum of both sets, because a new
+        owner may read either of them.
         """
-        self._proposed = frozenset(witnesses)
+        self._proposed_witnesses = frozenset(witnesses)
 
     def confirm_witnesses(self, witnesses: Iterable[str]) -> None:
-        """Take the witness set that the row surely holds."""
+        """Record that the row holds `witnesses` as its witness set."""
         self._witnesses = frozenset(witnesses)
-        self._proposed = None
+        self._proposed_witnesses = None
 
     def may_act(self) -> bool:
-        """Tell whether tasks may be placed and started now."""
-        if self._revoked or not self._is_taken():
+        """Return whether tasks may be placed and started now."""
+        if self._revoked or not self._is_takeover_complete():
             return False
-        return self._holds_lease() or (self._fencing and self._has_witnesses())
+        return self._holds_lease() or (self._fencing and self._has_witness_quorum())
 
     def may_rerun_unreported(self) -> bool:
-        """Tell whether nothing can be running that no adopted worker reported."""
-        if self._witnesses <= self._adopted:
+        """Return whether tasks that no adopted worker reported may be run again.
+
+        This is the case once all witnesses are adopted, or once attempts on the other
+        workers have certainly ended.
+        """
+        if self._witnesses <= self._adopted_workers:
             return True
         if not self._rules.rerun_wait:
             return True
-        stopped_s = self._former_owner_stopped_s()
+        stopped_s = self._former_owner_stop_time_s()
         return stopped_s is not None and self._clock.now() - stopped_s > RERUN_WAIT_S
 
-    def _is_taken(self) -> bool:
-        if self._witnesses and self._majority_at_s is None:
+    def _is_takeover_complete(self) -> bool:
+        if self._witnesses and self._majority_adopted_at_s is None:
             return False
         if not self._rules.takeover_wait:
             return True
-        stopped_s = self._former_owner_stopped_s()
+        stopped_s = self._former_owner_stop_time_s()
         return stopped_s is not None and self._clock.now() >= stopped_s
 
-    def _former_owner_stopped_s(self) -> float | None:
-        """Return when the former owner has surely stopped acting, once it is known.
+    def _former_owner_stop_time_s(self) -> float | None:
+        """Return the time by which the former owner has stopped acting.
 
-        One that was declared dead may act on acknowledgements that it asked for just
-        before a majority was adopted.
+        A former owner that was declared dead may act on acknowledgements of heartbeats
+        that it sent just before a majority of the witnesses was adopted. Returns None
+        until that majority is adopted.
         """
         if not self._taken_over:
-            return self._taken_at_s
-        moment_s = self._majority_at_s if self._witnesses else self._taken_at_s
-        if moment_s is None:
+            return self._acquired_at_s
+        latest_request_s = (
+            self._majority_adopted_at_s if self._witnesses else self._acquired_at_s
+        )
+        if latest_request_s is None:
             return None
-        return moment_s + WITNESS_VALIDITY_S + SAFETY_MARGIN_S
+        return latest_request_s + WITNESS_VALIDITY_S + SAFETY_MARGIN_S
 
     def _holds_lease(self) -> bool:
-        if self._lease_sent_s is None:
+        if self._lease_renewal_sent_s is None:
             return False
-        age_s = self._clock.now() - self._lease_sent_s
+        age_s = self._clock.now() - self._lease_renewal_sent_s
         return age_s < MEMBER_LEASE_S - SAFETY_MARGIN_S
 
-    def _has_witnesses(self) -> bool:
+    def _has_witness_quorum(self) -> bool:
         if not self._rules.witness_acknowledgement:
             return True
         now_s = self._clock.now()
-        recent = {
+        recently_acknowledged = {
             name
-            for name, sent_s in self._acknowledged_s.items()
+            for name, sent_s in self._last_acknowledged_sent_s.items()
             if now_s - sent_s < WITNESS_VALIDITY_S
         }
-        sets = [self._witnesses]
-        if self._proposed is not None:
-            sets.append(self._proposed)
-        return all(self._is_quorum(len(recent & each), each) for each in sets)
+        witness_sets = [self._witnesses]
+        if self._proposed_witnesses is not None:
+            witness_sets.append(self._proposed_witnesses)
+        return all(
+            self._is_quorum(len(recently_acknowledged & witness_set), witness_set)
+            for witness_set in witness_sets
+        )
 
     def _is_quorum(self, count: int, witnesses: frozenset[str]) -> bool:
         if not self._rules.witness_majority:
--- a/src/fuchsiadale/decision/clock.py
+++ b/src/fuchsiadale/decision/clock.py
@@ -1,10 +1,10 @@
-"""The clock that every decision reads."""
+"""The clock interface of the decision logic, and a clock for tests."""
 
 from abc import ABC, abstractmethod
 
 
 class Clock(ABC):
-    """A monotonic clock."""
+    """A monotonic clock that counts seconds from an arbitrary origin."""
 
     @abstractmethod
     def now(self) -> float:
@@ -12,12 +12,12 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """A clock that advances only by calls of `advance`.
 
     Parameters
     ----------
     start_s : float, default=0.0
-        The first reading, in seconds.
+        The initial reading, in seconds.
     """
 
     def __init__(self, start_s: float = 0.0) -> None:
@@ -28,5 +28,5 @@
         return self._now_s
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward by `seconds`."""
+        """Advance the clock by `seconds`."""
         self._now_s += seconds
--- a/src/fuchsiadale/decision/errors.py
+++ b/src/fuchsiadale/decision/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer each one gets."""
+"""The kinds of errors that callers receive, and the HTTP response to each."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class ExecutionOutcome(Enum):
-    """What is known about whether the work ran."""
+    """Whether the work was executed, as far as is known."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -16,7 +16,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which the system turns a caller away."""
+    """Every reason for which a call is refused or work ends without success."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -46,16 +46,16 @@
 
 @frozen
 class ErrorResponse:
-    """How an error kind is told to a caller.
+    """How an error kind is returned to a caller.
 
     Attributes
     ----------
     http_status : int
-        Status code of the HTTP answer.
+        Status code of the HTTP response.
     execution_outcome : ExecutionOutcome
-        Whether the work ran.
+        Whether the work was executed.
     retry_after_s : int or None
-        Seconds after which a new try is worthwhile, if one is.
+        Seconds after which the caller may retry; None if it should not.
     """
 
     http_status: int
@@ -97,12 +97,20 @@
 
 @frozen
 class Refusal:
-    """An error told to a caller: its kind and a sentence for a person."""
+    """An error that is returned to a caller.
+
+    Attributes
+    ----------
+    kind : ErrorKind
+        Selects the HTTP response.
+    message : str
+        Explains the error to a person.
+    """
 
     kind: ErrorKind
     message: str
 
     @property
     def response(self) -> ErrorResponse:
-        """The answer that the table gives for this kind."""
+        """The response to errors of this kind."""
         return ERROR_RESPONSES[self.kind]
--- a/src/fuchsiadale/decision/events.py
+++ b/src/fuchsiadale/decision/events.py
@@ -1,4 +1,4 @@
-"""What the journal records about a partition's work."""
+"""Events that the journal of a partition records about its work."""
 
 from __future__ import annotations
 
@@ -10,23 +10,29 @@
 
 @frozen
 class AcceptedEvent:
-    """A submission was accepted."""
+    """A submission was accepted.
+
+    Attributes
+    ----------
+    submission : Submission
+        The accepted submission.
+    """
 
     submission: Submission
 
 
 @frozen
 class PlannedEvent:
-    """An attempt was planned; its start may have been sent.
+    """An attempt was planned, and its start may have been sent.
 
     Attributes
     ----------
     task_id, attempt_id, worker : str
-        The task, the attempt and where it is to run.
+        Ids of the task and the attempt, and the name of the worker that is to run it.
     epoch : int
-        The epoch of the owner that planned it.
+        The epoch of the owner that planned the attempt.
     boot_id : str
-        The worker's boot in which it was planned.
+        The boot of the worker at the time of the planning.
     """
 
     task_id: str
@@ -38,24 +44,24 @@
 
 @frozen
 class EndedEvent:
-    """An attempt ended, and left its task in `state`.
+    """An attempt ended, or a task without an attempt did.
 
     Attributes
     ----------
     task_id, attempt_id : str
-        The task and the attempt; the attempt is empty if the task had none.
+        Ids of the task and the attempt; the latter is empty if the task had none.
     worker : str
-        Where it ran; empty if it had no attempt.
+        Name of the worker that ran the attempt; empty if there was no attempt.
     end : AttemptEnd
         How the attempt ended.
     state : TaskState
-        The task's state from here on.
+        The state of the task after the end.
     answer : bytes
-        What the task returned, if it is small enough to record.
+        What the task returned; empty if it is too large to record.
     is_omitted : bool
-        Whether it was too large.
+        Whether the answer is too large to record.
     refusal : Refusal or None
-        What is told of the work if it did not succeed.
+        The error that callers receive for the work; None if it succeeded.
     """
 
     task_id: str
@@ -70,7 +76,15 @@
 
 @frozen
 class CancelledEvent:
-    """A caller cancelled a piece of work, or its deadline passed."""
+    """A caller cancelled the work, or its deadline passed.
+
+    Attributes
+    ----------
+    work_id : str
+        Id of the work.
+    refusal : Refusal
+        The error that callers receive for the work.
+    """
 
     work_id: str
     refusal: Refusal
--- a/src/fuchsiadale/decision/failure_tracker.py
+++ b/src/fuchsiadale/decision/failure_tracker.py
@@ -1,4 +1,4 @@
-"""Tells poison work apart from workers that fail everything."""
+"""Distinguishes work that fails on every worker from workers that fail all work."""
 
 from __future__ import annotations
 
@@ -10,72 +10,74 @@
     QUARANTINE_FAILURE_THRESHOLD,
 )
 
+# A worker that fails this many different works without a success in between is
+# quarantined even if none of them succeeds on another worker.
 CONSECUTIVE_FAILURE_THRESHOLD = 2 * QUARANTINE_FAILURE_THRESHOLD
 
 
 @define
 class _WorkerRecord:
-    strikes: int = 0
-    failed_works: set[str] = field(factory=set)
+    confirmed_failures: int = 0
+    failed_work_ids: set[str] = field(factory=set)
     quarantined_at_s: float | None = None
 
 
 class FailureTracker:
     """Counts failures by work and by worker.
 
-    A failure of work that later succeeds elsewhere is a strike against the worker
-    that failed it. Work that failed on several workers is poison.
+    If work succeeds on one worker after it failed on others, its failures are confirmed
+    to be faults of those workers. Work that fails on several workers is poison.
     """
 
     def __init__(self) -> None:
         self._workers: dict[str, _WorkerRecord] = {}
-        self._failed_on: dict[str, set[str]] = {}
+        self._failed_workers: dict[str, set[str]] = {}
 
     def record_failure(self, work_id: str, worker: str) -> bool:
-        """Note a failure; return whether the worker should be quarantined."""
-        self._failed_on.setdefault(work_id, set()).add(worker)
+        """Record a failure; return whether the worker should be quarantined."""
+        self._failed_workers.setdefault(work_id, set()).add(worker)
         record = self._workers.setdefault(worker, _WorkerRecord())
-        record.failed_works.add(work_id)
-        return len(record.failed_works) >= CONSECUTIVE_FAILURE_THRESHOLD
+        record.failed_work_ids.add(work_id)
+        return len(record.failed_work_ids) >= CONSECUTIVE_FAILURE_THRESHOLD
 
     def record_success(self, work_id: str, worker: str) -> list[str]:
-        """Note a success; return the workers that should be quarantined for it."""
+        """Record a success; return the workers to quarantine for failing the work."""
         self._workers.pop(worker, None)
-        suspects: list[str] = []
-        for other in self._failed_on.pop(work_id, set()) - {worker}:
-            record = self._workers.get(other)
+        workers_to_quarantine: list[str] = []
+        for failed_worker in self._failed_workers.pop(work_id, set()) - {worker}:
+            record = self._workers.get(failed_worker)
             if record is None:
                 continue
-            record.strikes += 1
-            if record.strikes >= QUARANTINE_FAILURE_THRESHOLD:
-                suspects.append(other)
-        return suspects
+            record.confirmed_failures += 1
+            if record.confirmed_failures >= QUARANTINE_FAILURE_THRESHOLD:
+                workers_to_quarantine.append(failed_worker)
+        return workers_to_quarantine
 
     def is_poison(self, work_id: str) -> bool:
-        """Tell whether the work failed on so many workers that it is at fault."""
-        return len(self._failed_on.get(work_id, ())) >= POISON_WORKER_THRESHOLD
+        """Return whether the work failed on so many workers that it is faulty."""
+        return len(self._failed_workers.get(work_id, ())) >= POISON_WORKER_THRESHOLD
 
     def forget_work(self, work_id: str) -> None:
-        """Drop the failures of work that ended."""
-        self._failed_on.pop(work_id, None)
+        """Discard the failures of work that ended."""
+        self._failed_workers.pop(work_id, None)
 
     def record_quarantine(self, worker: str, now_s: float) -> None:
-        """Note when a worker was quarantined."""
+        """Record that a worker was quarantined at `now_s`."""
         record = self._workers.setdefault(worker, _WorkerRecord())
         record.quarantined_at_s = now_s
 
-    def end_due_quarantines(self, now_s: float) -> list[str]:
-        """Return the quarantined workers that may be tried again.
+    def end_expired_quarantines(self, now_s: float) -> list[str]:
+        """End the quarantines that have lasted long enough, and return their workers.
 
-        One more strike sends a probed worker back.
+        A single further confirmed failure puts such a worker back in quarantine.
         """
-        due: list[str] = []
+        released: list[str] = []
         for name, record in self._workers.items():
             since_s = record.quarantined_at_s
             if since_s is None or now_s - since_s < QUARANTINE_DURATION_S:
                 continue
             record.quarantined_at_s = None
-            record.strikes = QUARANTINE_FAILURE_THRESHOLD - 1
-            record.failed_works.clear()
-            due.append(name)
-        return due
+            record.confirmed_failures = QUARANTINE_FAILURE_THRESHOLD - 1
+            record.failed_work_ids.clear()
+            released.append(name)
+        return released
--- a/src/fuchsiadale/decision/grants.py
+++ b/src/fuchsiadale/decision/grants.py
@@ -1,8 +1,9 @@
-"""Fleet-wide upper limits of teams, cut into grants of partitions.
+"""Fleet-wide resource limits of teams, divided into grants to partitions.
 
-The row ``team/<name>`` holds one grant a partition. An owner runs a team's tasks only
-within its partition's grant, and the row changes only by compare-and-swap, so what a
-team runs over the whole fleet never exceeds the sum of the grants.
+The row ``team/<name>`` holds a grant for each partition. An owner runs the tasks of a
+team only within the grant of its partition, and the row changes only by
+compare-and-swap. So the resources that a team uses in the whole fleet never exceed the
+sum of its grants.
 """
 
 from __future__ import annotations
@@ -12,23 +13,26 @@
 
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 
+# Number of chunks that a limit is divided into; a grant grows by a chunk more than is
+# needed.
 GRANT_CHUNKS_PER_LIMIT = 16
 
 
 @frozen
 class TeamGrants:
-    """The row of one team.
+    """The row that holds the limit and the grants of a team.
 
     Attributes
     ----------
     limit : Resources
-        The team's upper limit; ``slots`` counts running tasks.
+        The limit of the team; ``slots`` limits the number of running tasks.
     limit_version : int
-        Version of the configuration that the limit came from.
+        Version of the configuration that set the limit.
     grants : dict of str to Resources
-        What each partition may run.
+        The resources that the team may use in each partition.
     ceilings : dict of str to Resources
-        What each partition has to come down to after the limit was lowered.
+        The amount to which a partition must reduce its grant after the limit was
+        lowered; holds only partitions that have not done so yet.
     """
 
     limit: Resources
@@ -38,7 +42,7 @@
 
     @property
     def total_granted(self) -> Resources:
-        """The sum of all grants."""
+        """The sum of the grants of all partitions."""
         total = NO_RESOURCES
         for grant in self.grants.values():
             total = total + grant
@@ -46,30 +50,31 @@
 
 
 class StaleLimit:
-    """The row was settled by a newer configuration than the caller knows."""
+    """The error for a row whose limit is from a newer configuration."""
 
 
 def apply_limit(
     row: TeamGrants, limit: Resources, version: int
 ) -> Result[TeamGrants, StaleLimit]:
-    """Bring a row to the limit of a configuration.
+    """Set the limit of a row to that of a configuration.
 
-    A limit below the sum of the grants gives each partition a ceiling in proportion
-    to its grant; the partitions come down to it by `lower_grant`.
+    If the limit is below the sum of the grants, each partition gets a ceiling in
+    proportion to its grant. Its owner reduces the grant to the ceiling by
+    `lower_grant`.
 
     Parameters
     ----------
     row : TeamGrants
-        The row as read.
+        The row as read from the table.
     limit : Resources
-        The upper limit that the configuration states.
+        The limit of the team in the configuration.
     version : int
-        The configuration's version.
+        Version of the configuration.
 
     Returns
     -------
     Result
-        The row to write, or `StaleLimit` if the row knows a newer version.
+        The row to write, or `StaleLimit` if the row holds a newer version.
     """
     if row.limit_version > version:
         return Err(StaleLimit())
@@ -92,12 +97,12 @@
 
 
 def raise_grant(row: TeamGrants, partition: str, wanted: Resources) -> TeamGrants:
-    """Raise a partition's grant towards `wanted` as far as the limit leaves room.
+    """Raise the grant of a partition towards `wanted`, as far as the limit permits.
 
-    A whole chunk is taken where there is room for it, so that a busy partition does
-    not write the row at every start.
+    The grant is raised by a chunk more than is wanted if so much is available, so that
+    a busy partition does not have to write the row at every start.
     """
-    held = row.grants.get(partition, NO_RESOURCES)
+    current = row.grants.get(partition, NO_RESOURCES)
     chunk = Resources(
         row.limit.cpu_millis // GRANT_CHUNKS_PER_LIMIT,
         row.limit.memory_mb // GRANT_CHUNKS_PER_LIMIT,
@@ -105,24 +110,27 @@
         row.limit.slots // GRANT_CHUNKS_PER_LIMIT,
         row.limit.connections // GRANT_CHUNKS_PER_LIMIT,
     )
-    room = (row.limit - row.total_granted).maximum(NO_RESOURCES)
-    target = wanted.maximum(held) + chunk
-    raised = held + (target - held).minimum(room)
+    available = (row.limit - row.total_granted).maximum(NO_RESOURCES)
+    target = wanted.maximum(current) + chunk
+    increased_grant = current + (target - current).minimum(available)
     ceiling = row.ceilings.get(partition)
     if ceiling is not None:
-        raised = raised.minimum(held.maximum(ceiling))
-    return evolve(row, grants={**row.grants, partition: raised})
+        increased_grant = increased_grant.minimum(current.maximum(ceiling))
+    return evolve(row, grants={**row.grants, partition: increased_grant})
 
 
-def lower_grant(row: TeamGrants, partition: str, keep: Resources) -> TeamGrants:
-    """Lower a partition's grant to `keep`, and drop its ceiling once it is met."""
-    held = row.grants.get(partition, NO_RESOURCES)
-    lowered = held.minimum(keep)
+def lower_grant(row: TeamGrants, partition: str, max_grant: Resources) -> TeamGrants:
+    """Lower the grant of a partition to at most `max_grant`.
+
+    The ceiling of the partition is removed once the grant is within it.
+    """
+    current = row.grants.get(partition, NO_RESOURCES)
+    new_grant = current.minimum(max_grant)
     ceilings = dict(row.ceilings)
     ceiling = ceilings.get(partition)
-    if ceiling is not None and lowered.fits_in(ceiling):
+    if ceiling is not None and new_grant.fits_in(ceiling):
         del ceilings[partition]
-    grants = {**row.grants, partition: lowered}
-    if lowered == NO_RESOURCES:
+    grants = {**row.grants, partition: new_grant}
+    if new_grant == NO_RESOURCES:
         del grants[partition]
     return evolve(row, grants=grants, ceilings=ceilings)
--- a/src/fuchsiadale/decision/membership.py
+++ b/src/fuchsiadale/decision/membership.py
@@ -1,4 +1,4 @@
-"""Which members are alive, and which of them should own each partition."""
+"""Member leases, and the assignment of partitions to members."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @frozen
 class VersionedMemberRow:
-    """A member's row as read.
+    """A member's row as read from the table.
 
     Attributes
     ----------
     row : MemberRow
-        The row.
+        The content of the row.
     version : int
-        Its version in the table.
+        The version that the table assigned to the row.
     """
 
     row: MemberRow
@@ -31,54 +31,63 @@
 
 @define
 class _MemberObservation:
-    seen: VersionedMemberRow
-    since_s: float
+    versioned_row: VersionedMemberRow
+    unchanged_since_s: float
 
 
 class MemberLeaseTracker:
-    """Watches the members' rows for changes by its own clock.
+    """Measures on the local clock how long each member's row has not changed.
+
+    A change of the row renews the lease of its member. Clocks of different hosts are
+    never compared.
 
     Parameters
     ----------
     clock : Clock
-        The clock.
+        The local clock.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._sightings: dict[str, _MemberObservation] = {}
+        self._observations: dict[str, _MemberObservation] = {}
 
     @property
     def members(self) -> dict[str, MemberRow]:
-        """The members whose rows exist, by name."""
-        return {name: sighting.seen.row for name, sighting in self._sightings.items()}
+        """The rows of all members, by member name."""
+        return {
+            name: observation.versioned_row.row
+            for name, observation in self._observations.items()
+        }
 
     def update(self, rows: Iterable[VersionedMemberRow]) -> None:
-        """Take a whole reading of the members' rows."""
+        """Replace the known rows by `rows`, a complete scan of the table."""
         now_s = self._clock.now()
-        sightings: dict[str, _MemberObservation] = {}
-        for seen in rows:
-            name = seen.row.member
-            earlier = self._sightings.get(name)
-            if earlier is None or earlier.seen.version != seen.version:
-                sightings[name] = _MemberObservation(seen, now_s)
+        observations: dict[str, _MemberObservation] = {}
+        for versioned_row in rows:
+            name = versioned_row.row.member
+            previous = self._observations.get(name)
+            if (
+                previous is None
+                or previous.versioned_row.version != versioned_row.version
+            ):
+                observations[name] = _MemberObservation(versioned_row, now_s)
             else:
-                sightings[name] = earlier
-        self._sightings = sightings
+                observations[name] = previous
+        self._observations = observations
 
     def restart_leases(self) -> None:
-        """Count every lease anew, since the store did not answer throughout."""
+        """Restart all leases after a failed read, which may have missed renewals."""
         now_s = self._clock.now()
-        for sighting in self._sightings.values():
-            sighting.since_s = now_s
+        for observation in self._observations.values():
+            observation.unchanged_since_s = now_s
 
     def expired_members(self) -> list[VersionedMemberRow]:
-        """Return the members whose rows stood unchanged for a whole lease."""
+        """Return the members whose rows have not changed for longer than the lease."""
         now_s = self._clock.now()
         return [
-            sighting.seen
-            for sighting in self._sightings.values()
-            if now_s - sighting.since_s > MEMBER_LEASE_S
+            observation.versioned_row
+            for observation in self._observations.values()
+            if now_s - observation.unchanged_since_s > MEMBER_LEASE_S
         ]
 
 
@@ -87,58 +96,64 @@
 ) -> dict[str, str]:
     """Return the member that should own each partition.
 
-    Rendezvous hashing (Thaler and Ravishankar, 1998) with a bound on load: no member
-    is given more than its even part, rounded up. Members that drain get none.
+    Uses rendezvous hashing (Thaler and Ravishankar, 1998) with a bound on load: no
+    member gets more than an even share of the partitions, rounded up. Draining members
+    get none.
 
     Parameters
     ----------
     partitions : iterable of str
-        All partitions.
+        Names of all partitions.
     members : mapping of str to MemberRow
-        All members.
+        The rows of all members, by member name.
 
     Returns
     -------
     dict of str to str
-        Empty if no member can own partitions.
+        The owner of each partition; empty if no member may own partitions.
     """
-    able = [name for name, row in members.items() if not row.draining]
-    names = sorted(partitions)
-    if not able or not names:
+    candidates = [name for name, row in members.items() if not row.draining]
+    sorted_partitions = sorted(partitions)
+    if not candidates or not sorted_partitions:
         return {}
-    most = -(-len(names) // len(able))
+    max_load = -(-len(sorted_partitions) // len(candidates))
     loads: Counter[str] = Counter()
     owners: dict[str, str] = {}
-    for partition in names:
+    for partition in sorted_partitions:
         ranked = sorted(
-            able, key=lambda member: rendezvous_weight(partition, member), reverse=True
+            candidates,
+            key=lambda member: rendezvous_weight(partition, member),
+            reverse=True,
         )
-        owner = next(member for member in ranked if loads[member] < most)
+        owner = next(member for member in ranked if loads[member] < max_load)
         loads[owner] += 1
         owners[partition] = owner
     return owners
 
 
 def rendezvous_weight(key: str, member: str) -> int:
-    """Return the weight of a member for a key."""
+    """Return the rendezvous hash of a key and a member; the highest one wins."""
     return xxhash.xxh3_64_intdigest(f"{key}|{member}".encode())
 
 
 def preferred_member(key: str, members: Iterable[str]) -> str | None:
-    """Return the member that rendezvous hashing prefers for a key."""
+    """Return the member that rendezvous hashing selects for a key.
+
+    Returns None if there are no members.
+    """
     return max(members, key=lambda member: rendezvous_weight(key, member), default=None)
 
 
 def slice_index_of(name: str, slice_count: int) -> int:
-    """Return the slice of a pool that a name belongs to."""
+    """Return the index, below `slice_count`, of the slice that a name belongs to."""
     return xxhash.xxh3_64_intdigest(name.encode()) % slice_count
 
 
 def partition_name(pool: str, slice_index: int) -> str:
-    """Return the name of a pool's slice."""
+    """Return the name of the partition that manages one slice of a pool."""
     return f"{pool}.{slice_index}"
 
 
 def partition_of_work_id(work_id: str) -> str:
-    """Return the partition that a work id names."""
+    """Return the partition name that a work id begins with."""
     return work_id.rpartition(".")[0]
--- a/src/fuchsiadale/decision/quarantine.py
+++ b/src/fuchsiadale/decision/quarantine.py
@@ -1,4 +1,4 @@
-"""Closes workers that are to blame for failures, and probes them again."""
+"""Quarantines workers that cause failures, and releases them after a time."""
 
 from __future__ import annotations
 
@@ -9,45 +9,49 @@
 
 
 class QuarantineManager:
-    """Acts on what the ends of attempts say of their workers.
+    """Quarantines workers according to how their attempts end.
 
     Parameters
     ----------
     ledger : Ledger
         The partition's workers.
-    blame : FailureTracker
-        Counts failures.
+    failure_tracker : FailureTracker
+        Counts the failures of work and of workers.
     clock : Clock
         The clock.
     """
 
-    def __init__(self, ledger: Ledger, blame: FailureTracker, clock: Clock) -> None:
+    def __init__(
+        self, ledger: Ledger, failure_tracker: FailureTracker, clock: Clock
+    ) -> None:
         self._ledger = ledger
-        self._blame = blame
+        self._failure_tracker = failure_tracker
         self._clock = clock
 
     def record_end(self, work_id: str, attempt: Attempt, end: AttemptEnd) -> int:
-        """Note an attempt's end; return how many workers were closed for it."""
-        suspects: list[str] = []
-        if end is AttemptEnd.FAILED and self._blame.record_failure(
+        """Record an attempt's end; return how many workers it put in quarantine."""
+        workers_to_quarantine: list[str] = []
+        if end is AttemptEnd.FAILED and self._failure_tracker.record_failure(
             work_id, attempt.worker
         ):
-            suspects = [attempt.worker]
+            workers_to_quarantine = [attempt.worker]
         elif end is AttemptEnd.SUCCEEDED:
-            suspects = self._blame.record_success(work_id, attempt.worker)
-        return sum(self._close(name) for name in suspects)
+            workers_to_quarantine = self._failure_tracker.record_success(
+                work_id, attempt.worker
+            )
+        return sum(self._quarantine(name) for name in workers_to_quarantine)
 
     def release_due_workers(self) -> None:
-        """Open the workers that may be tried again."""
-        for name in self._blame.end_due_quarantines(self._clock.now()):
+        """Release the workers whose quarantine is over."""
+        for name in self._failure_tracker.end_expired_quarantines(self._clock.now()):
             if name in self._ledger.workers:
                 self._ledger.change_state(name, "release")
 
-    def _close(self, name: str) -> bool:
-        """Close a worker, unless it has gone; return whether it was open."""
+    def _quarantine(self, name: str) -> bool:
+        """Quarantine a worker; return False if it has gone or is not ready."""
         if name not in self._ledger.workers:
             return False
         if not self._ledger.change_state(name, "quarantine"):
             return False
-        self._blame.record_quarantine(name, self._clock.now())
+        self._failure_tracker.record_quarantine(name, self._clock.now())
         return True
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -1,4 +1,4 @@
-"""Brings a partition's book into line with what a worker reports."""
+"""Reconciles the recorded tasks of a partition with the reports of its workers."""
 
 from __future__ import annotations
 
@@ -35,21 +35,24 @@
 
 
 @frozen
-class _OrphanAnswer:
-    """The end of an attempt whose work is not known, kept for a resubmission."""
+class _OrphanEnd:
+    """The end of an attempt of unknown work, kept in case the work is resubmitted."""
 
     attempt: Attempt
     ended: EndedAttempt
-    since_s: float
+    received_at_s: float
 
 
 class Reconciler:
-    """Applies worker reports to a partition.
+    """Applies the reports of workers to a partition.
+
+    An orphan is an attempt that a worker reports and that is not the current attempt of
+    a task, usually because a former owner started it and did not record it.
 
     Parameters
     ----------
     partition : Partition
-        The partition.
+        The partition to update.
     clock : Clock
         The clock.
     """
@@ -57,14 +60,18 @@
     def __init__(self, partition: Partition, clock: Clock) -> None:
         self._partition = partition
         self._clock = clock
-        self._heard_s: dict[str, float] = {}
+        self._last_contact_s: dict[str, float] = {}
         self._orphans: dict[str, Attempt] = {}
-        self._orphan_answers: dict[str, _OrphanAnswer] = {}
-        self._stranded: list[str] = []
-        self._opened_s = clock.now()
+        self._orphan_ends: dict[str, _OrphanEnd] = {}
+        self._attempts_on_missing_workers: list[str] = []
+        self._created_at_s = clock.now()
 
     def recover_tasks(self) -> None:
-        """Charge what the journal says may run, and hold what has to wait."""
+        """Charge the attempts recovered from the journal, and queue the other tasks.
+
+        The queued tasks are held until no attempt of a former owner can be running.
+        Requests are not queued before their callers submit them again.
+        """
         partition = self._partition
         for work in list(partition.book.works.values()):
             work.is_dormant = work.submission.kind is WorkKind.REQUEST
@@ -77,21 +84,21 @@
                 elif attempt.worker in partition.ledger.workers:
                     partition.scheduler.charge(attempt)
                 else:
-                    self._stranded.append(attempt.attempt_id)
+                    self._attempts_on_missing_workers.append(attempt.attempt_id)
             if work.cancelled:
                 partition.resume_cancellation(work)
 
     def set_workers(
         self, workers: Iterable[WorkerInfo], witnesses: Iterable[str]
     ) -> None:
-        """Take the workers that the host list gives this partition.
+        """Set the workers that the host list assigns to this partition.
 
         Parameters
         ----------
         workers : iterable of WorkerInfo
             The listed workers that tasks may be placed on.
         witnesses : iterable of str
-            The workers in the partition's row; those not listed have gone.
+            Names of the workers in the partition's row; those not listed have gone.
         """
         ledger = self._partition.ledger
         listed: set[str] = set()
@@ -101,83 +108,99 @@
             if info.leaving:
                 self._partition.evacuate(info.name)
         for name in set(ledger.workers) - listed:
-            self._remove(name)
+            self._remove_worker(name)
         for name in set(witnesses) - listed:
             self._partition.authority.record_adoption(name)
 
     def process_adoption(self, name: str, report: WorkerReport, sent_s: float) -> None:
-        """Take over a worker that accepted this epoch."""
+        """Process a worker's answer to an adoption that was sent at `sent_s`.
+
+        The worker has accepted the epoch of this owner.
+        """
         partition = self._partition
-        self._hear(name, sent_s)
+        self._record_contact(name, sent_s)
         for running in report.running:
             self._adopt_running(name, running)
         for ended in report.ended:
-            self._take_end(name, ended)
+            self._process_end(name, ended)
         partition.ledger.workers[name].boot_id = report.boot_id
         partition.ledger.set_usage(name, report.usage)
-        self._settle_former_attempts(name, report)
+        self._resolve_former_attempts(name, report)
         partition.ledger.change_state(name, "adopt")
-        self._note_leaving(name, report)
+        self._update_leaving_state(name, report)
         partition.authority.record_adoption(name)
 
     def process_heartbeat(self, name: str, report: WorkerReport, sent_s: float) -> None:
-        """Take the answer to a heartbeat that was sent at `sent_s`."""
+        """Process a worker's answer to a heartbeat that was sent at `sent_s`."""
         partition = self._partition
         if name not in partition.ledger.workers:
             return
-        self._hear(name, sent_s)
+        self._record_contact(name, sent_s)
         partition.authority.record_acknowledgement(name, sent_s)
         for ended in report.ended:
-            self._take_end(name, ended)
+            self._process_end(name, ended)
         partition.ledger.workers[name].boot_id = report.boot_id
-        present = {running.attempt_id for running in report.running}
-        for attempt_id in present:
+        reported_ids = {running.attempt_id for running in report.running}
+        for attempt_id in reported_ids:
             partition.started(attempt_id)
-            self._stop_unwanted(name, attempt_id)
-        self._end_absent(name, present, sent_s, report)
+            self._stop_if_superseded(name, attempt_id)
+        self._end_unreported(name, reported_ids, sent_s, report)
         if partition.ledger.workers[name].state is WorkerState.SILENT:
             partition.ledger.change_state(name, "adopt")
-        self._note_leaving(name, report)
+        self._update_leaving_state(name, report)
         partition.ledger.set_usage(name, report.usage)
 
     def process_timeouts(self) -> None:
-        """Close workers that fell silent, and end attempts whose leases lapsed."""
+        """Mark workers without recent contact as silent, and end expired attempts.
+
+        An attempt is expired once its worker has been out of contact for so long that
+        the worker has certainly ended it. Attempts that were recovered from the journal
+        and whose workers are no longer listed end in the same way.
+        """
         now_s = self._clock.now()
-        if self._stranded and now_s - self._opened_s > RERUN_WAIT_S:
-            for attempt_id in self._stranded:
+        if (
+            self._attempts_on_missing_workers
+            and now_s - self._created_at_s > RERUN_WAIT_S
+        ):
+            for attempt_id in self._attempts_on_missing_workers:
                 self._partition.ended(attempt_id, AttemptEnd.LOST, reason="worker_gone")
-            self._stranded.clear()
+            self._attempts_on_missing_workers.clear()
         for name, worker in self._partition.ledger.workers.items():
-            silent_s = now_s - self._heard_s.get(name, self._opened_s)
+            silent_s = now_s - self._last_contact_s.get(name, self._created_at_s)
             if silent_s > SESSION_TIMEOUT_S:
                 self._partition.ledger.change_state(name, "fall_silent")
             if silent_s > RERUN_WAIT_S:
-                self._lose_all(name, list(worker.attempts.values()))
+                self._end_attempts_of_silent_worker(
+                    name, list(worker.attempts.values())
+                )
 
     def discard_expired_ends(self) -> None:
-        """Let workers forget answers that nobody asked for in time."""
+        """Discard the ends of orphans whose work was not resubmitted in time.
+
+        They are acknowledged, so that the workers discard them too.
+        """
         now_s = self._clock.now()
-        for attempt_id, answer in list(self._orphan_answers.items()):
-            if now_s - answer.since_s > RESULT_RETENTION_S:
-                del self._orphan_answers[attempt_id]
-                self._partition.acknowledge(answer.attempt.worker, attempt_id)
+        for attempt_id, orphan_end in list(self._orphan_ends.items()):
+            if now_s - orphan_end.received_at_s > RESULT_RETENTION_S:
+                del self._orphan_ends[attempt_id]
+                self._partition.acknowledge(orphan_end.attempt.worker, attempt_id)
 
     def attach_orphans(self, work: Work) -> None:
-        """Join a resubmitted work to attempts that its former owner started."""
+        """Attach orphans to the tasks of resubmitted work that they belong to."""
         for task in work.tasks:
             if task.state is not TaskState.PENDING:
                 continue
             for attempt in list(self._orphans.values()):
                 if attempt.task_id == task.task_id:
-                    self._join(work.submission, attempt)
-            for answer in list(self._orphan_answers.values()):
-                if answer.attempt.task_id == task.task_id:
-                    del self._orphan_answers[answer.attempt.attempt_id]
-                    self._join(work.submission, answer.attempt)
-                    self._take_end(answer.attempt.worker, answer.ended)
-
-    def _join(self, submission: Submission, orphan: Attempt) -> None:
-        """Make an orphan the attempt in hand of its task."""
+                    self._attach_orphan(work.submission, attempt)
+            for orphan_end in list(self._orphan_ends.values()):
+                if orphan_end.attempt.task_id == task.task_id:
+                    del self._orphan_ends[orphan_end.attempt.attempt_id]
+                    self._attach_orphan(work.submission, orphan_end.attempt)
+                    self._process_end(orphan_end.attempt.worker, orphan_end.ended)
+
+    def _attach_orphan(self, submission: Submission, orphan: Attempt) -> None:
+        """Make an orphan the current attempt of its task, if the task is pending."""
         task = self._partition.book.task(orphan.task_id)
         if task is None or task.state is not TaskState.PENDING:
             return
@@ -198,7 +221,7 @@
     def _adopt_running(self, name: str, running: RunningAttempt) -> None:
         partition = self._partition
         attempt = evolve(
-            self._foreign_attempt(name, running.attempt_id),
+            self._make_placeholder_attempt(name, running.attempt_id),
             resources=running.resources,
             team=running.team,
         )
@@ -209,15 +232,15 @@
         task = partition.book.task(attempt.task_id)
         if task is not None and task.state is TaskState.PENDING:
             self._orphans[running.attempt_id] = attempt
-            self._join(task.submission, attempt)
+            self._attach_orphan(task.submission, attempt)
         elif task is not None:
             partition.order_stop(StopOrder(name, running.attempt_id, False))
             self._orphans[running.attempt_id] = attempt
         else:
             self._orphans[running.attempt_id] = attempt
 
-    def _foreign_attempt(self, name: str, attempt_id: str) -> Attempt:
-        """Return an attempt of which only the id and the worker are known."""
+    def _make_placeholder_attempt(self, name: str, attempt_id: str) -> Attempt:
+        """Return an attempt for which only the id and the worker are known."""
         return Attempt(
             attempt_id=attempt_id,
             task_id=task_id_of(attempt_id),
@@ -228,7 +251,7 @@
             team="",
         )
 
-    def _take_end(self, name: str, ended: EndedAttempt) -> None:
+    def _process_end(self, name: str, ended: EndedAttempt) -> None:
         partition = self._partition
         attempt_id = ended.attempt_id
         task = partition.book.task(task_id_of(attempt_id))
@@ -236,13 +259,15 @@
         if orphan is not None:
             partition.scheduler.release(orphan)
         if task is None:
-            attempt = orphan or self._foreign_attempt(name, attempt_id)
-            self._orphan_answers[attempt_id] = _OrphanAnswer(
+            attempt = orphan or self._make_placeholder_attempt(name, attempt_id)
+            self._orphan_ends[attempt_id] = _OrphanEnd(
                 attempt, ended, self._clock.now()
             )
             return
         if task.state is TaskState.PENDING:
-            self._join(task.submission, self._foreign_attempt(name, attempt_id))
+            self._attach_orphan(
+                task.submission, self._make_placeholder_attempt(name, attempt_id)
+            )
         if partition.book.current_task(attempt_id) is not None:
             partition.ended(attempt_id, ended.end, ended.answer)
             is_recorded = task.submission.is_journalled and not task.record_due
@@ -252,78 +277,82 @@
         if not task.acknowledgement_due:
             partition.acknowledge(name, attempt_id)
 
-    def _settle_former_attempts(self, name: str, report: WorkerReport) -> None:
-        """Settle what a former owner planned and the worker does not report.
+    def _resolve_former_attempts(self, name: str, report: WorkerReport) -> None:
+        """Resolve attempts that a former owner planned and the worker does not report.
 
-        A worker that compares epochs takes no start of the former owner any more. One
-        that does not may still take one until the start's validity is over.
+        A worker that compares epochs now refuses the starts of the former owner. A
+        worker that does not may still accept one until its validity has expired.
         """
         partition = self._partition
         worker = partition.ledger.workers[name]
-        present = {running.attempt_id for running in report.running}
+        reported_ids = {running.attempt_id for running in report.running}
         for attempt in list(worker.attempts.values()):
             attempt_id = attempt.attempt_id
-            if attempt_id in present or attempt.epoch == partition.epoch:
+            if attempt_id in reported_ids or attempt.epoch == partition.epoch:
                 continue
             task = partition.book.current_task(attempt_id)
             if task is None:
-                self._drop_orphan(attempt)
+                self._release_orphan(attempt)
             elif worker.info.fencing:
-                self._end_unseen(attempt, report)
+                self._end_unstarted_or_lost(attempt, report)
             else:
                 task.state = TaskState.STARTING
                 task.start_valid_until_s = report.clock_s + START_VALIDITY_S
 
-    def _end_absent(
-        self, name: str, present: set[str], sent_s: float, report: WorkerReport
+    def _end_unreported(
+        self, name: str, reported_ids: set[str], sent_s: float, report: WorkerReport
     ) -> None:
-        """End attempts that the worker should run but does not report.
+        """End attempts that are charged to a worker and that it does not report.
 
         Parameters
         ----------
         name : str
-            The worker.
-        present : set of str
-            The attempts that it reports as running.
+            Name of the worker.
+        reported_ids : set of str
+            Ids of the attempts that it reports as running.
         sent_s : float
-            When the heartbeat was sent; younger starts are not expected in it.
+            Time at which the heartbeat was sent; the report need not include attempts
+            that started later.
         report : WorkerReport
-            The answer to the heartbeat.
+            The answer of the worker to the heartbeat.
         """
         partition = self._partition
         for attempt in list(partition.ledger.workers[name].attempts.values()):
             attempt_id = attempt.attempt_id
-            if attempt_id in present:
+            if attempt_id in reported_ids:
                 continue
             task = partition.book.current_task(attempt_id)
             if task is None:
-                self._drop_orphan(attempt)
+                self._release_orphan(attempt)
             elif task.state is TaskState.RUNNING:
                 if task.acknowledged_at_s < sent_s:
                     partition.ended(attempt_id, AttemptEnd.LOST, reason="vanished")
             elif task.state is TaskState.STARTING:
                 valid_until_s = task.start_valid_until_s
                 if valid_until_s is not None and report.clock_s > valid_until_s:
-                    self._end_unseen(attempt, report)
+                    self._end_unstarted_or_lost(attempt, report)
 
-    def _end_unseen(self, attempt: Attempt, report: WorkerReport) -> None:
-        """End an attempt that its worker neither runs nor remembers.
+    def _end_unstarted_or_lost(self, attempt: Attempt, report: WorkerReport) -> None:
+        """End an attempt that its worker reports neither as running nor as ended.
 
-        A worker remembers what ended until it is acknowledged, which follows only on
-        the record of the end. So in the boot in which the attempt was planned it never
-        ran; in a later boot nothing is known.
+        A worker reports the end of an attempt until it is acknowledged, and the owner
+        acknowledges it only after recording it. So if the worker has not rebooted since
+        the attempt was planned, the attempt never ran; otherwise it is unknown whether
+        it ran.
         """
         end = AttemptEnd.LOST
         if attempt.boot_id and attempt.boot_id == report.boot_id:
             end = AttemptEnd.NOT_RUN
         self._partition.ended(attempt.attempt_id, end, reason="never_started")
 
-    def _drop_orphan(self, attempt: Attempt) -> None:
-        """Give back the room of an orphan that runs no more."""
+    def _release_orphan(self, attempt: Attempt) -> None:
+        """Release the resources of an orphan that is no longer running."""
         if self._orphans.pop(attempt.attempt_id, None) is not None:
             self._partition.scheduler.release(attempt)
 
-    def _lose_all(self, name: str, attempts: list[Attempt]) -> None:
+    def _end_attempts_of_silent_worker(
+        self, name: str, attempts: list[Attempt]
+    ) -> None:
         for attempt in attempts:
             task = self._partition.book.current_task(attempt.attempt_id)
             if task is None:
@@ -338,18 +367,18 @@
                     attempt.attempt_id, AttemptEnd.LOST, reason="worker_silent"
                 )
 
-    def _stop_unwanted(self, name: str, attempt_id: str) -> None:
-        """Stop an attempt whose task no longer wants it."""
+    def _stop_if_superseded(self, name: str, attempt_id: str) -> None:
+        """Stop an attempt if its task has ended or has another attempt."""
         partition = self._partition
         if attempt_id in self._orphans or partition.book.current_task(attempt_id):
             return
         if partition.book.task(task_id_of(attempt_id)) is not None:
             partition.order_stop(StopOrder(name, attempt_id, False))
 
-    def _hear(self, name: str, sent_s: float) -> None:
-        self._heard_s[name] = max(self._heard_s.get(name, sent_s), sent_s)
+    def _record_contact(self, name: str, sent_s: float) -> None:
+        self._last_contact_s[name] = max(self._last_contact_s.get(name, sent_s), sent_s)
 
-    def _note_leaving(self, name: str, report: WorkerReport) -> None:
+    def _update_leaving_state(self, name: str, report: WorkerReport) -> None:
         ledger = self._partition.ledger
         worker = ledger.workers[name]
         if report.leaving:
@@ -359,8 +388,8 @@
             ledger.change_state(name, "return_")
             ledger.change_state(name, "adopt")
 
-    def _remove(self, name: str) -> None:
-        """Close a worker that has gone; forget it once nothing is charged to it."""
+    def _remove_worker(self, name: str) -> None:
+        """Mark a worker as gone, and remove it once no attempt is charged to it."""
         ledger = self._partition.ledger
         ledger.change_state(name, "vanish")
         if not ledger.workers[name].attempts:
--- a/src/fuchsiadale/decision/reports.py
+++ b/src/fuchsiadale/decision/reports.py
@@ -1,4 +1,4 @@
-"""What a worker reports about its attempts."""
+"""The report of a worker about its attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 
 @frozen
 class RunningAttempt:
-    """An attempt that runs on the worker."""
+    """An attempt that is running on the worker.
+
+    Attributes
+    ----------
+    attempt_id : str
+        Id of the attempt.
+    team : str
+        Name of the team that the attempt is charged to.
+    resources : Resources
+        The resources that are charged for the attempt.
+    """
 
     attempt_id: str
     team: str
@@ -19,16 +29,17 @@
 
 @frozen
 class EndedAttempt:
-    """An attempt that ended and is not yet acknowledged.
+    """An attempt that has ended and whose end the owner has not acknowledged yet.
 
     Attributes
     ----------
     attempt_id : str
-        The attempt.
+        Id of the attempt.
     end : AttemptEnd
-        How it ended.
+        How the attempt ended.
     answer : bytes
-        What it returned, checked against the length and digest sent with it.
+        What the attempt returned. The receiver has checked it against the length and
+        the digest that were sent with it.
     """
 
     attempt_id: str
@@ -43,20 +54,22 @@
     Attributes
     ----------
     boot_id : str
-        Changes whenever the worker lost its memory of attempts.
+        Identifies the boot of the worker; it changes whenever the worker loses its
+        record of attempts.
     clock_s : float
-        Reading of the worker's clock when it answered.
+        Reading of the worker's clock at the time of the answer, in seconds.
     usage : Resources
-        What its tasks really take, measured with a lag; nothing if not measured.
+        Resources that the tasks use as measured, which lags behind; no resources if
+        the worker does not measure.
     leaving : bool
         Whether the worker is about to leave.
     running : tuple of RunningAttempt
-        What runs there.
+        The attempts that are running.
     ended : tuple of EndedAttempt
-        What ended and is not yet acknowledged.
+        The attempts that have ended and are not acknowledged yet.
     ended_through : int
-        Number of the last end that is reported; sent back with the next heartbeat, so
-        that an end is reported again only if its report was lost.
+        Number of the last end in this report. The next heartbeat sends it back, so that
+        an end is reported again only if its report was lost.
     """
 
     clock_s: float
--- a/src/fuchsiadale/decision/retry.py
+++ b/src/fuchsiadale/decision/retry.py
@@ -1,4 +1,4 @@
-"""When an attempt that ended may be followed by another one."""
+"""Rules for retries of attempts: whether to retry, when, and how often per queue."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -16,7 +16,19 @@
 
 
 class RetryDecision(Enum):
-    """What follows the end of an attempt."""
+    """What the owner does with a task when one of its attempts has ended.
+
+    Attributes
+    ----------
+    FINISH
+        The task has succeeded.
+    FAIL
+        The task has failed and is not retried.
+    RETRY
+        The task is queued again.
+    FAIL_AS_UNKNOWN
+        The task is not retried, and its outcome is reported as unknown.
+    """
 
     FINISH = "finish"
     FAIL = "fail"
@@ -24,8 +36,8 @@
     FAIL_AS_UNKNOWN = "tell_unknown"
 
 
-# Keyed by how the attempt ended and whether the work is idempotent. An attempt that
-# ended LOST is known to run no more, but not whether it ran before.
+# The keys are how the attempt ended and whether the work is idempotent. An attempt that
+# ended as LOST is no longer running, but whether it ran before is not known.
 RETRY_TABLE: Mapping[tuple[AttemptEnd, bool], RetryDecision] = MappingProxyType(
     {
         (AttemptEnd.SUCCEEDED, True): RetryDecision.FINISH,
@@ -43,31 +55,34 @@
 
 
 def backoff_s(attempts_made: int) -> float:
-    """Return the seconds to wait before the next attempt."""
+    """Return the seconds to wait before the next attempt.
+
+    The delay doubles with every attempt up to its maximum.
+    """
     exponent = min(max(attempts_made - 1, 0), 16)
-    doubled_s = RETRY_BACKOFF_INITIAL_S * float(1 << exponent)
-    return min(doubled_s, RETRY_BACKOFF_MAX_S)
+    delay_s = RETRY_BACKOFF_INITIAL_S * float(1 << exponent)
+    return min(delay_s, RETRY_BACKOFF_MAX_S)
 
 
 @define
 class RetryBudget:
-    """Limits the retries of a queue to a fraction of its new work.
+    """Limits the retries of a queue to a fraction of its new tasks.
 
     Attributes
     ----------
     tokens : float
-        Retries that may be made now.
+        Number of retries that may be made now.
     """
 
     tokens: float = RETRY_BUDGET_INITIAL_TOKENS
 
-    def deposit(self, tasks: int) -> None:
-        """Earn retries with new tasks."""
-        earned = tasks * RETRY_BUDGET_RATIO
-        self.tokens = min(self.tokens + earned, RETRY_BUDGET_INITIAL_TOKENS + 1000.0)
+    def deposit(self, task_count: int) -> None:
+        """Add the retries for `task_count` new tasks, up to a maximum."""
+        added = task_count * RETRY_BUDGET_RATIO
+        self.tokens = min(self.tokens + added, RETRY_BUDGET_INITIAL_TOKENS + 1000.0)
 
     def withdraw(self) -> bool:
-        """Spend one retry; return whether there was one."""
+        """Take one retry from the budget; return whether there was one."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -75,15 +90,15 @@
 
 
 class RetryBudgets:
-    """The retry budget of each queue."""
+    """The retry budgets of all queues, by queue name."""
 
     def __init__(self) -> None:
         self._by_queue: dict[str, RetryBudget] = {}
 
-    def deposit(self, queue: str, tasks: int) -> None:
-        """Earn a queue's retries with new tasks."""
-        self._by_queue.setdefault(queue, RetryBudget()).deposit(tasks)
+    def deposit(self, queue: str, task_count: int) -> None:
+        """Add the retries for `task_count` new tasks to the budget of a queue."""
+        self._by_queue.setdefault(queue, RetryBudget()).deposit(task_count)
 
     def withdraw(self, queue: str) -> bool:
-        """Spend one retry of a queue; return whether there was one."""
+        """Take one retry from the budget of a queue; return whether there was one."""
         return self._by_queue.setdefault(queue, RetryBudget()).withdraw()
--- a/src/fuchsiadale/decision/rows.py
+++ b/src/fuchsiadale/decision/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table by which entry hosts agree."""
+"""Rows of the table that entry hosts share, and the keys of these rows."""
 
 from __future__ import annotations
 
@@ -19,22 +19,25 @@
 
 @frozen
 class MemberRow:
-    """One running entry process; its renewal is the lease of all it owns.
+    """The row of a running entry process.
+
+    The process renews the row; the renewals are its lease on all partitions that it
+    owns.
 
     Attributes
     ----------
     member : str
-        ``<host>.<random>``; every process start is a new member.
+        Unique name ``<host>.<random>``; every start of the process is a new member.
     host : str
-        The entry host.
+        Name of the entry host.
     failure_domain : str
-        The failure domain it stands in.
+        The failure domain of the host.
     peer_address : str
-        Where it listens for its peers.
+        Address at which the process listens for its peers.
     renewals : int
-        Grows with every renewal.
+        Number of renewals so far.
     draining : bool
-        Whether it is about to stop.
+        Whether the process is about to stop.
     """
 
     member: str
@@ -47,16 +50,17 @@
 
 @frozen
 class JournalSegment:
-    """A part of a member's journal that holds events of a partition.
+    """A range of rows in the journal of a member that holds events of a partition.
 
     Attributes
     ----------
     member : str
-        Whose journal.
+        Name of the member that wrote the journal.
     first : int
         Number of the first row.
     last : int or None
-        Number of the last row; None if the member is the owner or was until it died.
+        Number of the last row; None if the member owns the partition, or owned it
+        until it died.
     """
 
     member: str
@@ -66,20 +70,21 @@
 
 @frozen
 class PartitionRow:
-    """Who owns a partition, and where its state is recorded.
+    """The row that records who owns a partition and where its state is stored.
 
     Attributes
     ----------
     owner : str
-        The owning member; empty after a hand-over.
+        Name of the member that owns it; empty after a handover.
     epoch : int
-        Raised by every taking.
+        Epoch of the current owner; every change of the owner raises it.
     witnesses : tuple of str
-        The workers that the owner may place tasks on.
+        Names of the workers that the owner may place tasks on.
     snapshot : str
-        Name of the object that holds the state before the segments; empty for none.
+        Name of the object that holds the state before the segments; empty if there is
+        none.
     segments : tuple of JournalSegment
-        Where the events after the snapshot are recorded, in order.
+        The journal segments that hold the events after the snapshot, in order.
     """
 
     owner: str
@@ -91,7 +96,15 @@
 
 @frozen
 class JournalEntry:
-    """Events of one partition."""
+    """Events of one partition in a row of a journal.
+
+    Attributes
+    ----------
+    partition : str
+        Name of the partition.
+    events : list of JournalEvent
+        The events in order.
+    """
 
     partition: str
     events: list[JournalEvent]
@@ -99,66 +112,77 @@
 
 @frozen
 class JournalRow:
-    """What one group commit of a member recorded."""
+    """The row that one group commit of a member wrote to its journal."""
 
     entries: list[JournalEntry] = field(factory=list)
 
 
 @frozen
 class EpochRow:
-    """The highest epoch that any partition was given."""
+    """The row that holds the highest epoch given to any partition so far."""
 
     epoch: int
 
 
 @frozen
 class ConfigHead:
-    """The configuration in force."""
+    """The row that names the configuration in force.
+
+    Attributes
+    ----------
+    version : int
+        Version of the configuration.
+    object_name : str
+        Name of the object that holds the configuration.
+    """
 
     version: int
     object_name: str
 
 
 def member_key(member: str) -> str:
-    """Return the key of a member's row."""
+    """Return the key of the row of a member."""
     return MEMBER_PREFIX + member
 
 
 def liveness_key(member: str) -> str:
-    """Return the key of the row that a member's writes depend on."""
+    """Return the key of the row that exists while a member has not been declared dead.
+
+    The writes of a member are conditional on this row.
+    """
     return LIVENESS_PREFIX + member
 
 
 def journal_marker_key(member: str) -> str:
-    """Return the key of the row that tells that a member has a journal."""
+    """Return the key of the row that marks that a member has a journal."""
     return JOURNAL_MARKER_PREFIX + member
 
 
 def partition_key(partition: str) -> str:
-    """Return the key of a partition's row."""
+    """Return the key of the row of a partition."""
     return PARTITION_PREFIX + partition
 
 
 def journal_prefix(member: str) -> str:
-    """Return the prefix of a member's journal."""
+    """Return the common prefix of the keys of a member's journal rows."""
     return f"{JOURNAL_PREFIX}{member}/"
 
 
 def journal_key(member: str, number: int) -> str:
-    """Return the key of one row of a member's journal."""
+    """Return the key of the journal row with the given number."""
     return f"{journal_prefix(member)}{number:012d}"
 
 
 def journal_row_number(key: str) -> int:
-    """Return the number of a journal row."""
+    """Return the number of the journal row that has the given key."""
     return int(key.rpartition("/")[2])
 
 
 def team_grants_key(team: str) -> str:
-    """Return the key of a team's grants."""
+    """Return the key of the row that holds the grants of a team."""
     return TEAM_GRANTS_PREFIX + team
 
 
 def config_version_key(version: int) -> str:
-    """Return the key of one version of the configuration."""
+    """Return the key of the row of one configuration version."""
     return f"{CONFIG_VERSION_PREFIX}{version:012d}"
--- a/src/fuchsiadale/decision/session.py
+++ b/src/fuchsiadale/decision/session.py
@@ -1,7 +1,7 @@
-"""The rules by which a backend server accepts orders from partition owners.
+"""Rules by which a backend server accepts or refuses orders from partition owners.
 
-A backend server that compares epochs keeps one `WorkerSession`. The rules can be
-switched off one by one, so that a test can show what each of them prevents.
+A backend server that compares epochs keeps one `WorkerSession`. Each rule can be
+disabled on its own, so that a test can show which failure the rule prevents.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class SessionRefusal(Enum):
-    """Why an order was refused; a refused order had no effect."""
+    """The reason why a worker refused an order; a refused order has no effect."""
 
     STALE_EPOCH = "stale_epoch"
     SESSION_LAPSED = "session_lapsed"
@@ -25,16 +25,17 @@
 
 @frozen
 class SessionRules:
-    """Which rules are in force.
+    """Which rules a worker session enforces.
 
     Attributes
     ----------
     fencing : bool
-        Orders of an older epoch are refused.
+        Whether orders of an older epoch are refused.
     session_timeout : bool
-        Starts are refused without a recent heartbeat.
+        Whether starts are refused without a recent heartbeat.
     echoed_clock : bool
-        Heartbeats renew from the clock reading they echo, not from their arrival.
+        Whether a heartbeat renews the session as of the clock reading that it echoes,
+        instead of its arrival.
     """
 
     fencing: bool = True
@@ -43,66 +44,87 @@
 
 
 class WorkerSession:
-    """The one session that a worker has with the owner of its partition.
+    """The session of a worker with the owner of its partition.
 
     Parameters
     ----------
     now_s : float
-        Reading of the worker's clock.
+        Current reading of the worker's clock, in seconds.
     rules : SessionRules, optional
-        Which rules are in force.
+        The rules to enforce; all by default.
     """
 
     def __init__(self, now_s: float, rules: SessionRules | None = None) -> None:
         self._rules = rules or SessionRules()
         self._epoch = 0
-        self._renewed_s = now_s - SESSION_TIMEOUT_S - TASK_LEASE_S
+        self._renewed_at_s = now_s - SESSION_TIMEOUT_S - TASK_LEASE_S
 
     @property
     def epoch(self) -> int:
-        """The highest epoch that adopted this worker."""
+        """The highest epoch that this worker has accepted."""
         return self._epoch
 
     def adopt(self, epoch: int) -> SessionRefusal | None:
-        """Take a new owner; the session opens with its first heartbeat."""
+        """Accept the owner of `epoch`, unless a newer one was accepted before.
+
+        The session starts with the first heartbeat of the owner.
+        """
         if self._is_stale(epoch):
             return SessionRefusal.STALE_EPOCH
         self._epoch = max(self._epoch, epoch)
         return None
 
     def renew(self, epoch: int, echo_s: float, now_s: float) -> SessionRefusal | None:
-        """Renew the session and the leases of its tasks.
+        """Renew the session and the leases of the worker's tasks.
 
         Parameters
         ----------
         epoch : int
-            Epoch of the sender.
+            Epoch of the owner that sent the heartbeat.
         echo_s : float
-            The last reading of this worker's clock that the sender received.
+            The last reading of this worker's clock that the owner received.
         now_s : float
-            Reading of this worker's clock.
+            Current reading of this worker's clock.
+
+        Returns
+        -------
+        SessionRefusal or None
+            Why the heartbeat is refused; None if it is accepted.
         """
         if self._is_stale(epoch):
             return SessionRefusal.STALE_EPOCH
         renewal_s = min(echo_s, now_s) if self._rules.echoed_clock else now_s
-        self._renewed_s = max(self._renewed_s, renewal_s)
+        self._renewed_at_s = max(self._renewed_at_s, renewal_s)
         return None
 
     def check_start(
         self, epoch: int, valid_until_s: float, now_s: float
     ) -> SessionRefusal | None:
-        """Return why a start is refused, or None if it may take effect."""
+        """Return why a start is refused, or None if it is accepted.
+
+        Parameters
+        ----------
+        epoch : int
+            Epoch of the owner that sent the start.
+        valid_until_s : float
+            Reading of this worker's clock after which the start is refused.
+        now_s : float
+            Current reading of this worker's clock.
+        """
         if self._is_stale(epoch):
             return SessionRefusal.STALE_EPOCH
-        if self._rules.session_timeout and now_s - self._renewed_s > SESSION_TIMEOUT_S:
+        if (
+            self._rules.session_timeout
+            and now_s - self._renewed_at_s > SESSION_TIMEOUT_S
+        ):
             return SessionRefusal.SESSION_LAPSED
         if now_s > valid_until_s:
             return SessionRefusal.START_EXPIRED
         return None
 
     def have_leases_expired(self, now_s: float) -> bool:
-        """Tell whether the tasks must be ended for want of a renewal."""
-        return now_s - self._renewed_s > TASK_LEASE_S
+        """Return whether the task leases have expired, so that the tasks must end."""
+        return now_s - self._renewed_at_s > TASK_LEASE_S
 
     def _is_stale(self, epoch: int) -> bool:
         return self._rules.fencing and epoch < self._epoch
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -1,4 +1,4 @@
-"""What callers and operators are shown of work."""
+"""Views of tasks, work, workers, teams and partitions for callers and operators."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @frozen
 class TaskView:
-    """One task as shown to its caller.
+    """The view of a task for its caller.
 
     Attributes
     ----------
     index : int
-        Its place in the work.
+        Index of the task in its work.
     state : TaskState
-        Where it stands.
+        State of the task.
     worker : str
-        Where it runs or ran last; empty if nowhere.
+        Name of the worker that runs the task or ran it last; empty if there is none.
     waited_s : float or None
-        Seconds from its acceptance to its first start.
+        Seconds from the acceptance of the task to its first start; None before that.
     answer : bytes
-        What it returned.
+        What the task returned.
     is_omitted : bool
-        Whether the answer was too large to keep.
+        Whether the answer is left out because it was too large to keep.
     """
 
     index: int
@@ -41,7 +41,25 @@
 
 @frozen
 class WorkView:
-    """A piece of work as shown to its caller."""
+    """The view of work for its caller.
+
+    Attributes
+    ----------
+    work_id : str
+        Id of the work.
+    kind : WorkKind
+        Kind of the work.
+    team, queue : str
+        Names of the team and the queue that the work was submitted for.
+    is_final : bool
+        Whether every task has ended.
+    cancelled : bool
+        Whether the work was cancelled.
+    refusal : Refusal or None
+        The error that the caller receives; None if there is none.
+    tasks : list of TaskView
+        The tasks by index.
+    """
 
     work_id: str
     kind: WorkKind
@@ -55,7 +73,21 @@
 
 @frozen
 class WorkerView:
-    """One worker as shown to operators."""
+    """The view of a worker for operators.
+
+    Attributes
+    ----------
+    name : str
+        Name of the worker.
+    state : WorkerState
+        Whether the worker may get new tasks.
+    failure_domain : str
+        The failure domain of the worker.
+    capacity, free : Resources
+        The resources of the worker, and those of them that are not charged.
+    attempts : list of str
+        Ids of the attempts that are charged to the worker.
+    """
 
     name: str
     state: WorkerState
@@ -67,16 +99,16 @@
 
 @frozen
 class TeamView:
-    """What one team uses of a partition.
+    """The view of the resources that a team uses in a partition.
 
     Attributes
     ----------
     team : str
-        The team.
+        Name of the team.
     used : Resources
-        What is charged to it.
+        Resources that are charged to the team in this partition.
     grant : Resources or None
-        What it may use here; None if it has no limit.
+        Resources that the team may use in this partition; None if it has no limit.
     """
 
     team: str
@@ -86,7 +118,25 @@
 
 @frozen
 class PartitionView:
-    """A partition as shown to operators."""
+    """The view of a partition for operators.
+
+    Attributes
+    ----------
+    name : str
+        Name of the partition.
+    epoch : int
+        Epoch of the owner.
+    may_act : bool
+        Whether the owner may place and start tasks now.
+    pending : int
+        Number of tasks that wait to be placed.
+    works : int
+        Number of requests and jobs that the partition keeps, ended ones included.
+    workers : list of WorkerView
+        The workers by name.
+    teams : list of TeamView
+        The teams by name.
+    """
 
     name: str
     epoch: int
@@ -98,7 +148,7 @@
 
 
 def build_partition_view(partition: Partition) -> PartitionView:
-    """Return what is shown of a partition."""
+    """Return the view of a partition."""
     scheduler = partition.scheduler
     teams: list[TeamView] = []
     for team, usage in sorted(scheduler.usage.items()):
@@ -130,7 +180,7 @@
 
 
 def build_work_view(work: Work) -> WorkView:
-    """Return what is shown of a piece of work."""
+    """Return the view of work."""
     submission = work.submission
     tasks: list[TaskView] = []
     for index, task in enumerate(work.tasks):
@@ -141,7 +191,7 @@
             TaskView(
                 index=index,
                 state=task.state,
-                worker=_worker_of(task),
+                worker=_current_or_last_worker(task),
                 waited_s=waited_s,
                 answer=task.answer.body if task.answer else b"",
                 is_omitted=task.answer.is_omitted if task.answer else False,
@@ -159,7 +209,7 @@
     )
 
 
-def _worker_of(task: Task) -> str:
+def _current_or_last_worker(task: Task) -> str:
     if task.attempt is not None:
         return task.attempt.worker
     return task.answer.worker if task.answer is not None else ""
