--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -1,7 +1,8 @@
-"""Two hosts, three workers and one task under the real lease rules.
+"""A model of two hosts, three workers and one task that runs the real lease rules.
 
-Messages may be late, hosts may be cut from the store or from workers, and a host may be
-dead. The one task may be started without a record, which is the hardest case.
+Messages may be late, hosts may lose the store or workers, and a host may be dead. The
+task may be started without a journal record, so a new owner learns of it only from the
+workers.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 
 
 @frozen
-class Rules:
-    """Which rules are in force.
+class LeaseRules:
+    """Which rules the hosts and the workers follow.
 
     Attributes
     ----------
     session : SessionRules
-        The workers' rules.
+        The rules of the workers.
     authority : AuthorityRules
-        The owners' rules.
+        The rules of the owners.
     start_validity : bool
-        Whether starts expire on their way.
+        Whether starts expire while they are in flight.
     """
 
     session: SessionRules = SessionRules()
@@ -42,28 +43,54 @@
 
 @define
 class Host:
-    """A host that owns the partition, or believes that it does."""
+    """A host that owns the partition or believes that it does.
+
+    Attributes
+    ----------
+    name : str
+        Name of the host.
+    epoch : int
+        The epoch in which it acquired the partition.
+    authority : Authority
+        Decides whether it may start the task.
+    clock_readings_s : dict of str to float
+        The last reading of each worker's clock that it received.
+    readings_received_at_s : dict of str to float
+        When it received these readings.
+    last_contact_s : dict of str to float
+        When it sent the last message that each worker answered.
+    task_worker : str or None
+        The worker that it believes to run the task.
+    """
 
     name: str
     epoch: int
     authority: Authority
-    readings: dict[str, float] = field(factory=dict)
-    read_at_s: dict[str, float] = field(factory=dict)
-    heard_s: dict[str, float] = field(factory=dict)
-    runs_on: str | None = None
+    clock_readings_s: dict[str, float] = field(factory=dict)
+    readings_received_at_s: dict[str, float] = field(factory=dict)
+    last_contact_s: dict[str, float] = field(factory=dict)
+    task_worker: str | None = None
 
 
 @define
 class Worker:
-    """A worker's session, and whether the task runs there."""
+    """A worker that may run the task.
+
+    Attributes
+    ----------
+    session : WorkerSession
+        The session with the owner of the partition.
+    runs_task : bool
+        Whether the worker runs the task.
+    """
 
     session: WorkerSession
-    runs: bool = False
+    runs_task: bool = False
 
 
 @frozen
 class Message:
-    """An adoption, a heartbeat or a start on its way."""
+    """An adoption, a heartbeat or a start that is in flight."""
 
     kind: str
     host: str
@@ -75,71 +102,71 @@
 
 
 class LeaseWorld:
-    """Steps the rules through any order of events.
+    """Applies the lease rules to events in any order.
 
     Parameters
     ----------
     rules : Rules, optional
-        Which rules are in force.
+        The rules to follow; all by default.
     """
 
-    def __init__(self, rules: Rules | None = None) -> None:
-        self.rules = rules or Rules()
+    def __init__(self, rules: LeaseRules | None = None) -> None:
+        self.rules = rules or LeaseRules()
         self.clock = ManualClock(100.0)
         self.in_flight: list[Message] = []
         self.owner = "a"
         self.epoch = 1
-        self.member_changed_s = self.clock.now()
+        self.owner_row_changed_s = self.clock.now()
         self.workers = {
-            name: Worker(WorkerSession(self._worker_clock(name), self.rules.session))
+            name: Worker(WorkerSession(self._worker_clock_s(name), self.rules.session))
             for name in WORKERS
         }
         self.hosts = {"a": self._new_host("a", taken_over=False)}
-        self.renew("a")
+        self.renew_lease("a")
         for name in WORKERS:
-            self.exchange("a", "adopt", name)
-            self.exchange("a", "heartbeat", name)
+            self.send_and_deliver("a", "adopt", name)
+            self.send_and_deliver("a", "heartbeat", name)
 
     @property
-    def places(self) -> list[str]:
-        """The workers on which the task runs."""
-        return [name for name, worker in self.workers.items() if worker.runs]
+    def task_workers(self) -> list[str]:
+        """Names of the workers on which the task runs."""
+        return [name for name, worker in self.workers.items() if worker.runs_task]
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; workers end a task whose lease has lapsed."""
+        """Advance the clock; workers end the task when its lease expires."""
         self.clock.advance(seconds)
         for name, worker in self.workers.items():
-            if worker.session.have_leases_expired(self._worker_clock(name)):
-                worker.runs = False
+            if worker.session.have_leases_expired(self._worker_clock_s(name)):
+                worker.runs_task = False
 
-    def renew(self, name: str) -> None:
-        """Renew the owner's member row; a former owner is told that it lost."""
+    def renew_lease(self, name: str) -> None:
+        """Renew the member row of the owner; revoke the authority of a former owner."""
         host = self.hosts[name]
         if self.owner != name:
             host.authority.revoke()
             return
-        self.member_changed_s = self.clock.now()
+        self.owner_row_changed_s = self.clock.now()
         host.authority.record_lease_renewal(self.clock.now())
 
-    def take(self, name: str) -> bool:
-        """Take the partition if its owner's row stood unchanged for a lease."""
-        unchanged_s = self.clock.now() - self.member_changed_s
+    def take_over(self, name: str) -> bool:
+        """Take over the partition if the lease of its owner has expired."""
+        unchanged_s = self.clock.now() - self.owner_row_changed_s
         if self.owner == name or unchanged_s <= MEMBER_LEASE_S:
             return False
         self.owner = name
         self.epoch += 1
-        self.member_changed_s = self.clock.now()
+        self.owner_row_changed_s = self.clock.now()
         self.hosts[name] = self._new_host(name, taken_over=True)
-        self.renew(name)
+        self.renew_lease(name)
         return True
 
     def send(self, name: str, kind: str, worker: str) -> bool:
-        """Put a message on its way; a start only if the host's rules allow it."""
+        """Send a message; return False if the host cannot or may not send it."""
         host = self.hosts[name]
         if host.authority.is_revoked:
             return False
         now_s = self.clock.now()
-        reading_s = host.readings.get(worker)
+        reading_s = host.clock_readings_s.get(worker)
         if reading_s is None and kind != "adopt":
             return False
         echo_s = reading_s if reading_s is not None else 0.0
@@ -147,9 +174,9 @@
         if kind == "start":
             if not self._may_start(host):
                 return False
-            host.runs_on = worker
+            host.task_worker = worker
             if self.rules.start_validity:
-                since_s = now_s - host.read_at_s[worker]
+                since_s = now_s - host.readings_received_at_s[worker]
                 valid_until_s = echo_s + since_s + START_VALIDITY_S
         self.in_flight.append(
             Message(kind, name, host.epoch, worker, echo_s, valid_until_s, now_s)
@@ -157,10 +184,10 @@
         return True
 
     def deliver(self, index: int, is_answered: bool = True) -> None:
-        """Let a message arrive; its answer comes back at once or is lost."""
+        """Deliver a message; its answer arrives immediately or is lost."""
         message = self.in_flight.pop(index)
         worker = self.workers[message.worker]
-        now_s = self._worker_clock(message.worker)
+        now_s = self._worker_clock_s(message.worker)
         if message.kind == "adopt":
             refusal = worker.session.adopt(message.epoch)
         elif message.kind == "heartbeat":
@@ -170,7 +197,7 @@
                 message.epoch, message.valid_until_s, now_s
             )
             if refusal is None:
-                worker.runs = True
+                worker.runs_task = True
         host = self.hosts.get(message.host)
         if not is_answered or host is None or host.epoch != message.epoch:
             return
@@ -178,36 +205,36 @@
             if refusal.value == "stale_epoch":
                 host.authority.revoke()
             return
-        self._answer(host, message, worker.runs)
+        self._process_answer(host, message, worker.runs_task)
 
-    def exchange(self, name: str, kind: str, worker: str) -> bool:
-        """Send a message and deliver it at once."""
+    def send_and_deliver(self, name: str, kind: str, worker: str) -> bool:
+        """Send a message and deliver it immediately; return whether it was sent."""
         if not self.send(name, kind, worker):
             return False
         self.deliver(len(self.in_flight) - 1)
         return True
 
-    def _answer(self, host: Host, message: Message, runs: bool) -> None:
-        host.readings[message.worker] = self._worker_clock(message.worker)
-        host.read_at_s[message.worker] = self.clock.now()
-        heard_s = host.heard_s.get(message.worker, message.sent_s)
-        host.heard_s[message.worker] = max(heard_s, message.sent_s)
+    def _process_answer(self, host: Host, message: Message, runs: bool) -> None:
+        host.clock_readings_s[message.worker] = self._worker_clock_s(message.worker)
+        host.readings_received_at_s[message.worker] = self.clock.now()
+        heard_s = host.last_contact_s.get(message.worker, message.sent_s)
+        host.last_contact_s[message.worker] = max(heard_s, message.sent_s)
         if message.kind == "adopt":
             host.authority.record_adoption(message.worker)
         elif message.kind == "heartbeat":
             host.authority.record_acknowledgement(message.worker, message.sent_s)
         if message.kind != "start" and runs:
-            host.runs_on = message.worker
+            host.task_worker = message.worker
 
     def _may_start(self, host: Host) -> bool:
-        """Tell whether the host would start the task now."""
+        """Return whether the host may start the task now."""
         if not host.authority.may_act():
             return False
         if host.epoch > 1 and not host.authority.may_rerun_unreported():
             return False
-        if host.runs_on is None:
+        if host.task_worker is None:
             return True
-        silent_s = self.clock.now() - host.heard_s[host.runs_on]
+        silent_s = self.clock.now() - host.last_contact_s[host.task_worker]
         return silent_s > RERUN_WAIT_S
 
     def _new_host(self, name: str, taken_over: bool) -> Host:
@@ -216,5 +243,5 @@
         )
         return Host(name, self.epoch, authority)
 
-    def _worker_clock(self, name: str) -> float:
+    def _worker_clock_s(self, name: str) -> float:
         return self.clock.now() + CLOCK_OFFSETS_S[name]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,7 +13,7 @@
 from fuchsiadale.decision.work import Program, TaskState, WorkKind
 from tests.builders import SMALL, make_submission, make_worker
 from tests.cluster import TestCluster
-from tests.test_takeover import sleeping
+from tests.test_takeover import make_sleep_submission
 from tests.virtual_loop import run_virtually
 
 
@@ -23,7 +23,7 @@
             entry = cluster.nodes["entry-0"]
             links = cluster.links["entry-0"]
             waiting = asyncio.ensure_future(
-                entry.router.run_request(sleeping(1, 5.0, False))
+                entry.router.run_request(make_sleep_submission(1, 5.0, False))
             )
             links.lost_worker_answers.update(cluster.workers)
             await asyncio.sleep(0.1)
@@ -41,7 +41,9 @@
             for worker in cluster.workers.values():
                 worker.faults.truncates_answers = 2
             entry = cluster.nodes["entry-0"]
-            view = (await entry.router.run_request(sleeping(1, 0.1, False))).unwrap()
+            view = (
+                await entry.router.run_request(make_sleep_submission(1, 0.1, False))
+            ).unwrap()
             assert view.tasks[0].answer == b"answer 1"
             assert len(cluster.runs_of(view.work_id + "/")) == 1
 
@@ -85,7 +87,9 @@
             waiting = [
                 asyncio.ensure_future(
                     nodes[number % 3].router.run_request(
-                        sleeping(number, 0.1 + number % 7 / 10, number % 2 == 0)
+                        make_sleep_submission(
+                            number, 0.1 + number % 7 / 10, number % 2 == 0
+                        )
                     )
                 )
                 for number in range(90)
@@ -103,12 +107,12 @@
             entry = cluster.nodes["entry-0"]
             blocking = [
                 asyncio.ensure_future(
-                    entry.router.run_request(sleeping(number, 20.0, True))
+                    entry.router.run_request(make_sleep_submission(number, 20.0, True))
                 )
                 for number in range(24)
             ]
             await asyncio.sleep(0.5)
-            late = evolve(sleeping(99, 0.1, False), deadline_s=1.0)
+            late = evolve(make_sleep_submission(99, 0.1, False), deadline_s=1.0)
             view = (await entry.router.run_request(late)).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.TIMEOUT
@@ -123,7 +127,7 @@
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
-            late = evolve(sleeping(1, 20.0, False), deadline_s=1.0)
+            late = evolve(make_sleep_submission(1, 20.0, False), deadline_s=1.0)
             refusal = (await entry.router.run_request(late)).unwrap_err()
             assert refusal.kind is ErrorKind.OUTCOME_UNKNOWN
 
@@ -140,7 +144,7 @@
             waiting = []
             for number, host in enumerate(hosts):
                 submission = evolve(
-                    sleeping(7, 2.0, False),
+                    make_sleep_submission(7, 2.0, False),
                     work_id=f"general.0.same{number}",
                     key="crest-7",
                 )
@@ -163,7 +167,7 @@
         async with TestCluster(nodes=3) as cluster:
             for number, node in enumerate(cluster.nodes.values()):
                 submission = evolve(
-                    sleeping(7, 0.1, False),
+                    make_sleep_submission(7, 0.1, False),
                     work_id=f"general.0.same{number}",
                     key="crest-7",
                 )
@@ -179,9 +183,9 @@
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             router = cluster.nodes["entry-0"].router
-            first = evolve(sleeping(1, 0.1, False), key="crest")
+            first = evolve(make_sleep_submission(1, 0.1, False), key="crest")
             (await router.run_request(first)).unwrap()
-            other = evolve(sleeping(2, 0.1, False), key="crest")
+            other = evolve(make_sleep_submission(2, 0.1, False), key="crest")
             refusal = (await router.run_request(other)).unwrap_err()
             assert refusal.kind is ErrorKind.KEY_REUSED
 
@@ -198,7 +202,7 @@
             await asyncio.sleep(3.0)
             waiting = [
                 asyncio.ensure_future(
-                    entry.router.run_request(sleeping(number, 0.1, True))
+                    entry.router.run_request(make_sleep_submission(number, 0.1, True))
                 )
                 for number in range(24)
             ]
@@ -208,7 +212,7 @@
             leaving.faults.leaving = False
             await asyncio.sleep(3.0)
             again = [
-                entry.router.run_request(sleeping(100 + number, 0.1, True))
+                entry.router.run_request(make_sleep_submission(100 + number, 0.1, True))
                 for number in range(24)
             ]
             await asyncio.gather(*again)
@@ -227,7 +231,9 @@
             cluster.workers["elsewhere"] = cluster.workers["worker-0"]
             cluster.state.put_worker(evolve(info, address="elsewhere"))
             await asyncio.sleep(5.0)
-            view = (await entry.router.run_request(sleeping(1, 0.1, True))).unwrap()
+            view = (
+                await entry.router.run_request(make_sleep_submission(1, 0.1, True))
+            ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
 
     run_virtually(session())
@@ -259,7 +265,9 @@
             entry = cluster.nodes["entry-0"]
             cluster.workers["worker-0"].faults.fails_every_task = True
             for number in range(60):
-                view = await entry.router.run_request(sleeping(number, 0.05, True))
+                view = await entry.router.run_request(
+                    make_sleep_submission(number, 0.05, True)
+                )
                 assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
             ledger = entry.ownership.drivers["general.0"].partition.ledger
             assert ledger.workers["worker-0"].state is WorkerState.QUARANTINED
@@ -298,7 +306,9 @@
             (full,) = [w for w in cluster.workers.values() if w.running]
             waiting = [
                 asyncio.ensure_future(
-                    entry.router.run_request(sleeping(100 + number, 1.0, True))
+                    entry.router.run_request(
+                        make_sleep_submission(100 + number, 1.0, True)
+                    )
                 )
                 for number in range(24)
             ]
@@ -308,7 +318,7 @@
             await asyncio.gather(*waiting)
             await asyncio.sleep(20.0)
             again = [
-                entry.router.run_request(sleeping(200 + number, 1.0, True))
+                entry.router.run_request(make_sleep_submission(200 + number, 1.0, True))
                 for number in range(24)
             ]
             await asyncio.gather(*again)
@@ -355,7 +365,9 @@
             )
             await asyncio.sleep(3.0)
             assert not any(w.running for w in cluster.workers.values())
-            view = (await entry.router.run_request(sleeping(99, 0.1, True))).unwrap()
+            view = (
+                await entry.router.run_request(make_sleep_submission(99, 0.1, True))
+            ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
             ledger = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
             for worker in ledger.partition.ledger.workers.values():
@@ -369,10 +381,10 @@
         async with TestCluster(nodes=1, workers=[make_worker(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
             waiting = asyncio.ensure_future(
-                entry.router.run_request(sleeping(1, 20.0, False))
+                entry.router.run_request(make_sleep_submission(1, 20.0, False))
             )
             again = asyncio.ensure_future(
-                entry.router.run_request(sleeping(2, 0.5, True))
+                entry.router.run_request(make_sleep_submission(2, 0.5, True))
             )
             await asyncio.sleep(0.2)
             cluster.workers["worker-0"].reboot()
--- a/tests/test_lease_rules.py
+++ b/tests/test_lease_rules.py
@@ -1,4 +1,4 @@
-"""The lease rules: no task runs in two places, and each rule is needed."""
+"""Tests that the lease rules keep a task from running on two workers at a time."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from fuchsiadale.decision.authority import AuthorityRules
 from fuchsiadale.decision.session import SessionRules
-from tests.lease_world import WORKERS, LeaseWorld, Rules
+from tests.lease_world import WORKERS, LeaseRules, LeaseWorld
 
 HOSTS = ("a", "b")
 KINDS = ("adopt", "heartbeat", "start")
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Any order of time, messages, renewals and takings."""
+    """Applies time steps, messages, renewals and takeovers in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,13 +29,13 @@
         self.world.advance(seconds)
 
     @rule(name=st.sampled_from(HOSTS))
-    def renew(self, name: str) -> None:
+    def renew_lease(self, name: str) -> None:
         if name in self.world.hosts:
-            self.world.renew(name)
+            self.world.renew_lease(name)
 
     @rule(name=st.sampled_from(HOSTS))
-    def take(self, name: str) -> None:
-        self.world.take(name)
+    def take_over(self, name: str) -> None:
+        self.world.take_over(name)
 
     @rule(
         name=st.sampled_from(HOSTS),
@@ -51,9 +51,9 @@
         kind=st.sampled_from(KINDS),
         worker=st.sampled_from(WORKERS),
     )
-    def exchange(self, name: str, kind: str, worker: str) -> None:
+    def send_and_deliver(self, name: str, kind: str, worker: str) -> None:
         if name in self.world.hosts:
-            self.world.exchange(name, kind, worker)
+            self.world.send_and_deliver(name, kind, worker)
 
     @rule(index=st.integers(0, 50), is_answered=st.booleans())
     def deliver(self, index: int, is_answered: bool) -> None:
@@ -61,140 +61,140 @@
             self.world.deliver(index % len(self.world.in_flight), is_answered)
 
     @invariant()
-    def runs_in_one_place(self) -> None:
-        assert len(self.world.places) <= 1
+    def task_runs_on_at_most_one_worker(self) -> None:
+        assert len(self.world.task_workers) <= 1
 
 
 LeaseMachine.TestCase.settings = settings(
     derandomize=True, max_examples=400, stateful_step_count=60, deadline=None
 )
-test_lease_rules = LeaseMachine.TestCase
+test_task_never_runs_on_two_workers = LeaseMachine.TestCase
 
 
-def keep_sessions(world: LeaseWorld, name: str, workers: str, seconds: float) -> None:
-    """Let a host send heartbeats once a second."""
+def send_heartbeats(world: LeaseWorld, name: str, workers: str, seconds: float) -> None:
+    """Send heartbeats once a second to the workers whose digits `workers` holds."""
     for _ in range(int(seconds)):
         world.advance(1.0)
         for index in workers:
-            world.exchange(name, "heartbeat", f"w{index}")
+            world.send_and_deliver(name, "heartbeat", f"w{index}")
 
 
-def take_over(world: LeaseWorld, workers: str) -> None:
-    """Let host b take the partition and adopt some workers."""
-    assert world.take("b")
+def take_over_partition(world: LeaseWorld, workers: str) -> None:
+    """Let host b take over, and adopt the workers whose digits `workers` holds."""
+    assert world.take_over("b")
     for index in workers:
-        world.exchange("b", "adopt", f"w{index}")
-        world.exchange("b", "heartbeat", f"w{index}")
+        world.send_and_deliver("b", "adopt", f"w{index}")
+        world.send_and_deliver("b", "heartbeat", f"w{index}")
 
 
-def hold(world: LeaseWorld, workers: str, seconds: int) -> None:
-    """Let host b renew its lease and keep sessions."""
+def renew_and_send_heartbeats(world: LeaseWorld, workers: str, seconds: int) -> None:
+    """Let host b renew its lease and send heartbeats once a second."""
     for _ in range(seconds):
-        world.renew("b")
-        keep_sessions(world, "b", workers, 1.0)
+        world.renew_lease("b")
+        send_heartbeats(world, "b", workers, 1.0)
 
 
-def former_owner_keeps_its_witnesses(world: LeaseWorld) -> None:
-    keep_sessions(world, "a", "012", 6.0)
-    take_over(world, "012")
+def former_owner_keeps_sending_heartbeats(world: LeaseWorld) -> None:
+    send_heartbeats(world, "a", "012", 6.0)
+    take_over_partition(world, "012")
     for _ in range(5):
-        hold(world, "012", 1)
-        keep_sessions(world, "a", "012", 1.0)
-    world.exchange("b", "start", "w1")
-    world.exchange("a", "start", "w0")
+        renew_and_send_heartbeats(world, "012", 1)
+        send_heartbeats(world, "a", "012", 1.0)
+    world.send_and_deliver("b", "start", "w1")
+    world.send_and_deliver("a", "start", "w0")
 
 
-def start_is_late(world: LeaseWorld) -> None:
+def start_is_delivered_late(world: LeaseWorld) -> None:
     assert world.send("a", "start", "w0")
     world.advance(6.0)
-    take_over(world, "12")
-    hold(world, "12", 16)
-    world.exchange("b", "start", "w1")
+    take_over_partition(world, "12")
+    renew_and_send_heartbeats(world, "12", 16)
+    world.send_and_deliver("b", "start", "w1")
     world.deliver(0)
 
 
-def heartbeats_are_late_one_after_another(world: LeaseWorld) -> None:
-    world.exchange("a", "start", "w0")
+def heartbeats_are_delivered_late(world: LeaseWorld) -> None:
+    world.send_and_deliver("a", "start", "w0")
     for _ in range(5):
         assert world.send("a", "heartbeat", "w0")
     world.advance(5.5)
-    take_over(world, "12")
+    take_over_partition(world, "12")
     for _ in range(5):
         world.deliver(0)
-        hold(world, "12", 4)
-    world.exchange("b", "start", "w1")
+        renew_and_send_heartbeats(world, "12", 4)
+    world.send_and_deliver("b", "start", "w1")
 
 
 def former_owner_reaches_one_worker(world: LeaseWorld) -> None:
-    keep_sessions(world, "a", "0", 6.0)
-    take_over(world, "12")
+    send_heartbeats(world, "a", "0", 6.0)
+    take_over_partition(world, "12")
     for _ in range(16):
-        hold(world, "12", 1)
-        world.exchange("a", "heartbeat", "w0")
-    world.exchange("b", "start", "w1")
-    world.exchange("a", "start", "w0")
+        renew_and_send_heartbeats(world, "12", 1)
+        world.send_and_deliver("a", "heartbeat", "w0")
+    world.send_and_deliver("b", "start", "w1")
+    world.send_and_deliver("a", "start", "w0")
 
 
-def worker_is_out_of_reach(world: LeaseWorld) -> None:
-    world.exchange("a", "start", "w0")
-    keep_sessions(world, "a", "0", 6.0)
-    take_over(world, "12")
-    hold(world, "12", 4)
-    world.exchange("b", "start", "w1")
+def worker_is_unreachable(world: LeaseWorld) -> None:
+    world.send_and_deliver("a", "start", "w0")
+    send_heartbeats(world, "a", "0", 6.0)
+    take_over_partition(world, "12")
+    renew_and_send_heartbeats(world, "12", 4)
+    world.send_and_deliver("b", "start", "w1")
 
 
-def taker_adopts_late(world: LeaseWorld) -> None:
-    keep_sessions(world, "a", "012", 6.0)
-    assert world.take("b")
+def new_owner_adopts_late(world: LeaseWorld) -> None:
+    send_heartbeats(world, "a", "012", 6.0)
+    assert world.take_over("b")
     for _ in range(14):
-        world.renew("b")
-        keep_sessions(world, "a", "012", 1.0)
+        world.renew_lease("b")
+        send_heartbeats(world, "a", "012", 1.0)
     for index in "12":
-        world.exchange("b", "adopt", f"w{index}")
-        world.exchange("b", "heartbeat", f"w{index}")
+        world.send_and_deliver("b", "adopt", f"w{index}")
+        world.send_and_deliver("b", "heartbeat", f"w{index}")
     world.advance(2.5)
-    world.exchange("a", "heartbeat", "w0")
-    world.exchange("a", "start", "w0")
-    hold(world, "12", 2)
-    world.exchange("b", "start", "w1")
+    world.send_and_deliver("a", "heartbeat", "w0")
+    world.send_and_deliver("a", "start", "w0")
+    renew_and_send_heartbeats(world, "12", 2)
+    world.send_and_deliver("b", "start", "w1")
 
 
-def test_taker_that_adopts_late_waits_for_the_former_owner() -> None:
+def test_new_owner_that_adopts_late_waits_for_the_former_owner() -> None:
     world = LeaseWorld()
-    taker_adopts_late(world)
-    assert world.places == ["w0"]
+    new_owner_adopts_late(world)
+    assert world.task_workers == ["w0"]
 
 
-SCHEDULES: list[tuple[str, Callable[[LeaseWorld], None], Rules]] = [
+SCHEDULES: list[tuple[str, Callable[[LeaseWorld], None], LeaseRules]] = [
     (
         "fencing",
-        former_owner_keeps_its_witnesses,
-        Rules(session=SessionRules(fencing=False)),
+        former_owner_keeps_sending_heartbeats,
+        LeaseRules(session=SessionRules(fencing=False)),
     ),
     (
         "session and start validity",
-        start_is_late,
-        Rules(session=SessionRules(session_timeout=False), start_validity=False),
+        start_is_delivered_late,
+        LeaseRules(session=SessionRules(session_timeout=False), start_validity=False),
     ),
     (
         "echo",
-        heartbeats_are_late_one_after_another,
-        Rules(session=SessionRules(echoed_clock=False)),
+        heartbeats_are_delivered_late,
+        LeaseRules(session=SessionRules(echoed_clock=False)),
     ),
     (
         "witness",
         former_owner_reaches_one_worker,
-        Rules(authority=AuthorityRules(witness_acknowledgement=False)),
+        LeaseRules(authority=AuthorityRules(witness_acknowledgement=False)),
     ),
     (
         "majority",
         former_owner_reaches_one_worker,
-        Rules(authority=AuthorityRules(witness_majority=False)),
+        LeaseRules(authority=AuthorityRules(witness_majority=False)),
     ),
     (
         "rerun wait",
-        worker_is_out_of_reach,
-        Rules(authority=AuthorityRules(rerun_wait=False)),
+        worker_is_unreachable,
+        LeaseRules(authority=AuthorityRules(rerun_wait=False)),
     ),
 ]
 
@@ -204,10 +204,12 @@
     [(schedule, rules) for _, schedule, rules in SCHEDULES],
     ids=[name for name, _, _ in SCHEDULES],
 )
-def test_rule_is_needed(schedule: Callable[[LeaseWorld], None], rules: Rules) -> None:
+def test_task_runs_on_two_workers_without_the_rule(
+    schedule: Callable[[LeaseWorld], None], rules: LeaseRules
+) -> None:
     guarded = LeaseWorld()
     schedule(guarded)
-    assert len(guarded.places) <= 1
+    assert len(guarded.task_workers) <= 1
     unguarded = LeaseWorld(rules)
     schedule(unguarded)
-    assert len(unguarded.places) == 2
+    assert len(unguarded.task_workers) == 2
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Upper limits over the fleet: the sum of what partitions run stays below them."""
+"""Tests that the tasks of a team never exceed its fleet-wide limit."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 PARTITIONS = ("p.0", "p.1", "p.2")
 
 
-def tasks(count: int) -> Resources:
-    """Return a limit on the number of tasks alone."""
-    most = UNLIMITED_AMOUNT
-    return Resources(most, most, most, count, most)
+def limit_of_tasks(count: int) -> Resources:
+    """Return resources that limit only the number of tasks."""
+    unlimited = UNLIMITED_AMOUNT
+    return Resources(unlimited, unlimited, unlimited, count, unlimited)
 
 
 STEPS = st.lists(
@@ -64,53 +64,64 @@
 )
 
 
-class GrantWorld:
-    """Partitions that run one team's tasks under one row."""
+class GrantModel:
+    """A model of partitions that run the tasks of one team under its row of grants."""
 
     def __init__(self) -> None:
-        self.row = TeamGrants(tasks(10), 1)
-        self.limit = 10
+        self.row = TeamGrants(limit_of_tasks(10), 1)
+        self.task_limit = 10
         self.version = 1
-        self.known = dict.fromkeys(PARTITIONS, 0)
+        self.known_grants = dict.fromkeys(PARTITIONS, 0)
         self.running = dict.fromkeys(PARTITIONS, 0)
 
-    def read(self, partition: str) -> None:
-        """Let an owner learn its grant and keep within it, ceilings included."""
+    def read_grant(self, partition: str) -> None:
+        """Let an owner read its grant and ceiling, and stop tasks beyond them."""
         grant = self.row.grants.get(partition, NO_RESOURCES).slots
         ceiling = self.row.ceilings.get(partition)
-        self.known[partition] = grant if ceiling is None else min(grant, ceiling.slots)
-        self.running[partition] = min(self.running[partition], self.known[partition])
-
-    def run(self, partition: str, count: int, is_answered: bool) -> None:
-        """Run more tasks, taking a greater grant first if needed."""
+        self.known_grants[partition] = (
+            grant if ceiling is None else min(grant, ceiling.slots)
+        )
+        self.running[partition] = min(
+            self.running[partition], self.known_grants[partition]
+        )
+
+    def run_tasks(self, partition: str, count: int, is_answered: bool) -> None:
+        """Run more tasks, and raise the grant first if that is needed.
+
+        Without an answer the owner does not learn that the row has changed.
+        """
         wanted = self.running[partition] + count
-        if wanted > self.known[partition]:
-            adopted = apply_limit(self.row, tasks(self.limit), self.version)
-            if isinstance(adopted, Ok):
-                need = evolve(NO_RESOURCES, slots=wanted)
-                self.row = raise_grant(adopted.ok_value, partition, need)
+        if wanted > self.known_grants[partition]:
+            updated_row = apply_limit(
+                self.row, limit_of_tasks(self.task_limit), self.version
+            )
+            if isinstance(updated_row, Ok):
+                wanted_grant = evolve(NO_RESOURCES, slots=wanted)
+                self.row = raise_grant(updated_row.ok_value, partition, wanted_grant)
             if not is_answered:
                 return
-            self.read(partition)
-        self.running[partition] = min(wanted, max(self.known[partition], 0))
+            self.read_grant(partition)
+        self.running[partition] = min(wanted, max(self.known_grants[partition], 0))
 
-    def give_back(self, partition: str, is_answered: bool) -> None:
-        """Return what is not used; the owner lowers its own bound first."""
+    def return_unused(self, partition: str, is_answered: bool) -> None:
+        """Return the unused grant; the owner lowers its known grant before the row."""
         keep = self.running[partition]
-        self.known[partition] = min(self.known[partition], keep)
-        self.row = lower_grant(self.row, partition, evolve(tasks(keep), slots=keep))
+        self.known_grants[partition] = min(self.known_grants[partition], keep)
+        self.row = lower_grant(
+            self.row, partition, evolve(limit_of_tasks(keep), slots=keep)
+        )
         if is_answered:
-            self.read(partition)
+            self.read_grant(partition)
 
     def set_limit(self, limit: int) -> None:
-        """Lower or raise the limit; every owner learns of it and comes down."""
-        self.limit = limit
+        """Change the limit, and let every owner reduce its tasks and grant to it."""
+        self.task_limit = limit
         self.version += 1
-        adopted = apply_limit(self.row, tasks(limit), self.version)
-        assert isinstance(adopted, Ok)
-        self.row = adopted.ok_value
+        updated_row = apply_limit(self.row, limit_of_tasks(limit), self.version)
+        assert isinstance(updated_row, Ok)
+        self.row = updated_row.ok_value
         for partition in PARTITIONS:
-            self.read(partition)
+            self.read_grant(partition)
             if partition in self.row.ceilings:
                 self.row = lower_grant(
                     self.row, partition, self.row.ceilings[partition]
@@ -119,28 +130,28 @@
 
 @settings(derandomize=True, max_examples=500, deadline=None)
 @given(STEPS)
-def test_running_never_exceeds_the_limit(
+def test_running_tasks_never_exceed_the_limit(
     steps: list[tuple[str, str, int, bool]],
 ) -> None:
-    world = GrantWorld()
+    world = GrantModel()
     for kind, partition, count, is_answered in steps:
         if kind == "run":
-            world.run(partition, count, is_answered)
+            world.run_tasks(partition, count, is_answered)
         elif kind == "end":
             world.running[partition] = max(0, world.running[partition] - count)
         elif kind == "return":
-            world.give_back(partition, is_answered)
+            world.return_unused(partition, is_answered)
         elif kind == "forget":
-            world.read(partition)
+            world.read_grant(partition)
         else:
             world.set_limit(count)
-        assert sum(world.running.values()) <= world.limit
-        assert world.row.total_granted.slots <= world.limit
+        assert sum(world.running.values()) <= world.task_limit
+        assert world.row.total_granted.slots <= world.task_limit
 
 
 def test_older_configuration_cannot_raise_a_limit() -> None:
-    row = TeamGrants(tasks(3), limit_version=7)
-    assert isinstance(apply_limit(row, tasks(100), 6), Err)
+    row = TeamGrants(limit_of_tasks(3), limit_version=7)
+    assert isinstance(apply_limit(row, limit_of_tasks(100), 6), Err)
 
 
 LIMITED = """\
@@ -153,7 +164,7 @@
 """
 
 
-def test_fleet_wide_limit_holds_over_partitions_and_a_lowered_one_is_met() -> None:
+def test_fleet_wide_limit_holds_over_partitions_also_after_it_is_lowered() -> None:
     async def session() -> None:
         workers = [make_worker(index) for index in range(9)]
         async with TestCluster(3, workers, LIMITED % 10) as cluster:
@@ -174,18 +185,18 @@
             peak = 0
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                peak = max(peak, running(cluster))
+                peak = max(peak, count_running_tasks(cluster))
             assert peak == 10
             files = [SourceFile("all.yaml", LIMITED % 4)]
             (await entry.config.change_folder(files, None)).unwrap()
-            await cluster.until(lambda: running(cluster) <= 4, limit_s=18.0)
+            await cluster.until(lambda: count_running_tasks(cluster) <= 4, limit_s=18.0)
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                assert running(cluster) <= 4
+                assert count_running_tasks(cluster) <= 4
 
     run_virtually(session())
 
 
-def running(cluster: TestCluster) -> int:
-    """Return how many tasks the workers run."""
+def count_running_tasks(cluster: TestCluster) -> int:
+    """Return the number of tasks that the workers are running."""
     return sum(len(worker.running) for worker in cluster.workers.values())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Snapshots, cut journals and what a new owner recovers from them."""
+"""Tests of snapshots, truncated journals and the recovery by a new owner."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from fuchsiadale.entry import hosted_partition
 from tests.builders import PARTITION, PartitionBench, make_submission
 from tests.cluster import TestCluster
-from tests.test_takeover import sleeping
+from tests.test_takeover import make_sleep_submission
 from tests.virtual_loop import run_virtually
 
 ENDS = [
@@ -34,8 +34,8 @@
 ]
 
 
-def state_of(book: WorkBook) -> dict[str, object]:
-    """Return what has to survive: states, attempts, answers and keys."""
+def recoverable_state(book: WorkBook) -> dict[str, object]:
+    """Return the state that must be recovered: states, attempts, answers and keys."""
     return {
         task.task_id: (
             task.state if task.state.is_final else task.attempt is not None,
@@ -57,7 +57,7 @@
     ),
     st.integers(0, 60),
 )
-def test_snapshot_and_journal_lead_to_the_owners_state(
+def test_replay_of_snapshot_and_journal_restores_the_owners_state(
     steps: list[tuple[str, int]], snapshot_at: int
 ) -> None:
     bench = PartitionBench()
@@ -86,10 +86,10 @@
     recovered = WorkBook()
     for event in row.unwrap().entries[0].events:
         recovered.replay(event, 2, 0.0)
-    assert state_of(recovered) == state_of(bench.partition.book)
+    assert recoverable_state(recovered) == recoverable_state(bench.partition.book)
 
 
-def test_new_owner_finishes_a_cancellation_and_knows_why_work_failed() -> None:
+def test_new_owner_finishes_a_cancellation_and_reports_why_work_failed() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
@@ -121,7 +121,7 @@
     run_virtually(session())
 
 
-def test_delivered_requests_are_forgotten_soon_unless_they_have_a_key() -> None:
+def test_delivered_requests_are_discarded_early_unless_they_have_a_key() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
@@ -129,7 +129,7 @@
             entry = cluster.nodes[cluster.other(owner)]
             for number in range(20):
                 key = "kept" if number == 7 else ""
-                request = evolve(sleeping(number, 0.1, False), key=key)
+                request = evolve(make_sleep_submission(number, 0.1, False), key=key)
                 (await entry.router.run_request(request)).unwrap()
             await asyncio.sleep(60.0)
             book = cluster.nodes[owner].ownership.drivers["general.0"].partition.book
@@ -140,7 +140,7 @@
     run_virtually(session())
 
 
-def test_new_owner_recovers_from_snapshot_and_cut_journal() -> None:
+def test_new_owner_recovers_from_snapshot_and_truncated_journal() -> None:
     async def session() -> None:
         with patch.object(hosted_partition, "SNAPSHOT_ROWS", 10):
             async with TestCluster(nodes=2) as cluster:
@@ -148,32 +148,36 @@
                 assert owner is not None
                 member = cluster.nodes[owner].member
                 entry = cluster.nodes[cluster.other(owner)]
-                first = evolve(sleeping(0, 0.1, False), key="first")
+                first = evolve(make_sleep_submission(0, 0.1, False), key="first")
                 (await entry.router.run_request(first)).unwrap()
                 for number in range(1, 40):
-                    request = sleeping(number, 0.1, False)
+                    request = make_sleep_submission(number, 0.1, False)
                     (await entry.router.run_request(request)).unwrap()
                 await asyncio.sleep(60.0)
                 rows = cluster.state.scan(journal_prefix(member), "")
                 assert len(rows) < 20
                 await cluster.kill(owner)
                 await cluster.until(lambda: cluster.owner() is not None)
-                again = evolve(sleeping(0, 0.1, False), work_id="general.0.again")
-                view = await entry.router.run_request(evolve(again, key="first"))
+                repeated = evolve(
+                    make_sleep_submission(0, 0.1, False), work_id="general.0.again"
+                )
+                view = await entry.router.run_request(evolve(repeated, key="first"))
                 assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
                 assert len(cluster.runs_of("general.0.again")) == 0
 
     run_virtually(session())
 
 
-def test_journal_of_a_member_that_is_gone_is_removed_once_nobody_needs_it() -> None:
+def test_journal_of_a_dead_member_is_removed_once_no_partition_needs_it() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
             assert owner is not None
             member = cluster.nodes[owner].member
             entry = cluster.nodes[cluster.other(owner)]
-            (await entry.router.run_request(sleeping(1, 0.1, False))).unwrap()
+            (
+                await entry.router.run_request(make_sleep_submission(1, 0.1, False))
+            ).unwrap()
             await cluster.kill(owner)
             await asyncio.sleep(60.0)
             assert cluster.state.scan(journal_prefix(member), "")
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of partitions that change their owner, on a virtual clock."""
+"""Tests of changes of the owner of a partition, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from tests.virtual_loop import run_virtually
 
 
-def sleeping(
+def make_sleep_submission(
     number: int, run_s: float, idempotent: bool, kind: WorkKind = WorkKind.REQUEST
 ) -> Submission:
+    """Return a submission whose task sleeps for `run_s` and then returns an answer."""
     payload = json.dumps({"run_s": run_s, "answer": f"answer {number}"}).encode()
     submission = make_submission(number, kind=kind, idempotent=idempotent)
     return evolve(submission, program=Program("sleep", payload), deadline_s=60.0)
@@ -25,7 +26,7 @@
 
 @pytest.mark.parametrize("idempotent", [True, False])
 @pytest.mark.parametrize("run_s", [0.05, 3.0, 12.0])
-def test_killed_owner_loses_and_doubles_no_request(
+def test_every_request_runs_exactly_once_if_the_owner_is_killed(
     idempotent: bool, run_s: float
 ) -> None:
     async def session() -> None:
@@ -33,15 +34,17 @@
             owner = cluster.owner()
             assert owner is not None
             entry = cluster.nodes[cluster.other(owner)]
-            waiting = [
+            requests = [
                 asyncio.ensure_future(
-                    entry.router.run_request(sleeping(number, run_s, idempotent))
+                    entry.router.run_request(
+                        make_sleep_submission(number, run_s, idempotent)
+                    )
                 )
                 for number in range(12)
             ]
             await asyncio.sleep(0.06)
             await cluster.kill(owner)
-            views = [(await each).unwrap() for each in waiting]
+            views = [(await request).unwrap() for request in requests]
             for number, view in enumerate(views):
                 assert view.tasks[0].state is TaskState.SUCCEEDED
                 assert view.tasks[0].answer == f"answer {number}".encode()
@@ -51,63 +54,67 @@
     run_virtually(session())
 
 
-def test_drained_owner_cuts_no_request() -> None:
+def test_drained_owner_finishes_its_requests() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
             node = cluster.nodes[owner]
-            waiting = [
+            requests = [
                 asyncio.ensure_future(
-                    node.router.run_request(sleeping(number, 2.0, False))
+                    node.router.run_request(make_sleep_submission(number, 2.0, False))
                 )
                 for number in range(30)
             ]
             await asyncio.sleep(0.05)
             await node.drain()
-            assert all(each.done() for each in waiting)
+            assert all(request.done() for request in requests)
             await cluster.kill(owner)
-            for each in waiting:
-                view = (await each).unwrap()
+            for request in requests:
+                view = (await request).unwrap()
                 assert view.tasks[0].state is TaskState.SUCCEEDED
                 assert len(cluster.runs_of(view.work_id + "/")) == 1
 
     run_virtually(session())
 
 
-def test_drain_does_not_wait_for_the_results_of_a_dead_peer() -> None:
+def test_drain_does_not_wait_for_a_dead_peer_to_collect_results() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
             caller = cluster.other(owner)
-            waiting = asyncio.ensure_future(
-                cluster.nodes[caller].router.run_request(sleeping(1, 2.0, True))
+            pending_request = asyncio.ensure_future(
+                cluster.nodes[caller].router.run_request(
+                    make_sleep_submission(1, 2.0, True)
+                )
             )
             await asyncio.sleep(0.5)
             await cluster.kill(caller)
             await asyncio.sleep(12.0)
             async with asyncio.timeout(15.0):
                 await cluster.nodes[owner].drain()
-            waiting.cancel()
+            pending_request.cancel()
 
     run_virtually(session())
 
 
-def test_worker_out_of_reach_at_takeover_is_not_doubled() -> None:
+def test_task_on_unreachable_worker_is_rerun_only_after_it_ended() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
             assert owner is not None
             entry = cluster.nodes[cluster.other(owner)]
-            waiting = asyncio.ensure_future(
-                entry.router.run_request(sleeping(1, 30.0, True))
+            pending_request = asyncio.ensure_future(
+                entry.router.run_request(make_sleep_submission(1, 30.0, True))
             )
             await asyncio.sleep(0.2)
-            (holder,) = [w for w in cluster.workers.values() if w.running]
-            cluster.links[cluster.other(owner)].cut_workers.add(holder.info.name)
+            (running_worker,) = [w for w in cluster.workers.values() if w.running]
+            cluster.links[cluster.other(owner)].cut_workers.add(
+                running_worker.info.name
+            )
             await cluster.kill(owner)
-            view = (await waiting).unwrap()
+            view = (await pending_request).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
             runs = cluster.runs_of(view.work_id + "/")
             assert len(runs) == 2
@@ -118,7 +125,7 @@
     run_virtually(session())
 
 
-def test_store_outage_alone_stops_nothing() -> None:
+def test_only_idempotent_requests_run_during_a_store_outage() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
@@ -126,31 +133,35 @@
             entry = cluster.nodes[cluster.other(owner)]
             cluster.faults.table_down = True
             await asyncio.sleep(60.0)
-            view = await entry.router.run_request(sleeping(1, 0.1, True))
+            view = await entry.router.run_request(make_sleep_submission(1, 0.1, True))
             assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
-            refused = await entry.router.run_request(sleeping(2, 0.1, False))
+            refused = await entry.router.run_request(
+                make_sleep_submission(2, 0.1, False)
+            )
             assert refused.unwrap_err().kind is ErrorKind.STORE_UNAVAILABLE
-            job = await entry.router.submit_job(sleeping(3, 0.1, True, WorkKind.BATCH))
+            job = await entry.router.submit_job(
+                make_sleep_submission(3, 0.1, True, WorkKind.BATCH)
+            )
             assert job.unwrap_err().kind is ErrorKind.STORE_UNAVAILABLE
             assert cluster.runs_of("general.0.2/") == []
             cluster.faults.table_down = False
             await asyncio.sleep(2.0)
-            again = await entry.router.submit_job(
-                sleeping(4, 0.1, True, WorkKind.BATCH)
+            accepted_job = await entry.router.submit_job(
+                make_sleep_submission(4, 0.1, True, WorkKind.BATCH)
             )
-            assert again.is_ok()
+            assert accepted_job.is_ok()
 
     run_virtually(session())
 
 
-def test_owner_cut_from_store_and_peers_never_acts_beside_the_new_owner() -> None:
+def test_isolated_owner_never_acts_at_the_same_time_as_the_new_owner() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
             cluster.links[owner].store_cut = True
             cluster.cut_off(owner)
-            old = cluster.nodes[owner].ownership.drivers["general.0"]
+            former_owner = cluster.nodes[owner].ownership.drivers["general.0"]
             for _ in range(600):
                 await asyncio.sleep(0.05)
                 acting = [
@@ -161,26 +172,26 @@
                 ]
                 assert len(acting) <= 1
             assert cluster.owner() not in (owner, None)
-            assert not old.partition.authority.may_act()
+            assert not former_owner.partition.authority.may_act()
 
     run_virtually(session())
 
 
-def test_unreached_run_that_is_not_idempotent_is_told_as_unknown() -> None:
+def test_outcome_of_non_idempotent_request_on_unreachable_worker_is_unknown() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
             assert owner is not None
             other = cluster.other(owner)
             entry = cluster.nodes[other]
-            waiting = asyncio.ensure_future(
-                entry.router.run_request(sleeping(1, 40.0, False))
+            pending_request = asyncio.ensure_future(
+                entry.router.run_request(make_sleep_submission(1, 40.0, False))
             )
             await asyncio.sleep(0.2)
-            (holder,) = [w for w in cluster.workers.values() if w.running]
-            cluster.links[other].cut_workers.add(holder.info.name)
+            (running_worker,) = [w for w in cluster.workers.values() if w.running]
+            cluster.links[other].cut_workers.add(running_worker.info.name)
             await cluster.kill(owner)
-            view = (await waiting).unwrap()
+            view = (await pending_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
             assert len(cluster.runs_of(view.work_id + "/")) == 1
@@ -188,19 +199,19 @@
     run_virtually(session())
 
 
-def test_worker_that_rebooted_before_its_adoption_is_not_trusted() -> None:
+def test_outcome_is_unknown_if_the_worker_rebooted_before_its_adoption() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
             assert owner is not None
             entry = cluster.nodes[cluster.other(owner)]
-            request = sleeping(1, 40.0, False)
-            waiting = asyncio.ensure_future(entry.router.run_request(request))
+            request = make_sleep_submission(1, 40.0, False)
+            pending_request = asyncio.ensure_future(entry.router.run_request(request))
             await asyncio.sleep(0.2)
-            (holder,) = [w for w in cluster.workers.values() if w.running]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running]
             await cluster.kill(owner)
-            holder.reboot()
-            view = (await waiting).unwrap()
+            running_worker.reboot()
+            view = (await pending_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
             assert cluster.runs_of(request.work_id + "/") == []
@@ -208,46 +219,46 @@
     run_virtually(session())
 
 
-def test_former_owner_that_lives_on_is_refused_by_adopted_workers() -> None:
+def test_isolated_former_owner_starts_nothing_on_adopted_workers() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
-            old = cluster.nodes[owner]
+            former_owner = cluster.nodes[owner]
             cluster.links[owner].store_cut = True
             cluster.cut_off(owner)
             await cluster.until(lambda: cluster.owner() not in (owner, None))
-            request = sleeping(1, 0.1, True)
-            driver = old.ownership.drivers.get("general.0")
+            request = make_sleep_submission(1, 0.1, True)
+            driver = former_owner.ownership.drivers.get("general.0")
             if driver is not None:
-                await driver.submit(request, old.member)
+                await driver.submit(request, former_owner.member)
             await asyncio.sleep(20.0)
             assert cluster.runs_of(request.work_id + "/") == []
 
     run_virtually(session())
 
 
-def test_former_owner_stops_renewing_what_the_new_owner_cannot_reach() -> None:
+def test_former_owner_stops_renewing_tasks_the_new_owner_cannot_reach() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
             entry = cluster.nodes[cluster.other(owner)]
-            waiting = asyncio.ensure_future(
-                entry.router.run_request(sleeping(1, 50.0, True))
+            pending_request = asyncio.ensure_future(
+                entry.router.run_request(make_sleep_submission(1, 50.0, True))
             )
             await asyncio.sleep(0.2)
-            (holder,) = [w for w in cluster.workers.values() if w.running]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running]
             cluster.links[owner].store_cut = True
             cluster.cut_off(owner)
             for host in cluster.nodes:
                 if host != owner:
-                    cluster.links[host].cut_workers.add(holder.info.name)
+                    cluster.links[host].cut_workers.add(running_worker.info.name)
             for _ in range(1200):
                 await asyncio.sleep(0.05)
                 running = [w for w in cluster.workers.values() if w.running]
                 assert len(running) <= 1
-            waiting.cancel()
+            pending_request.cancel()
 
     run_virtually(session())
 
@@ -257,23 +268,25 @@
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
-            old = cluster.nodes[owner]
-            blocking = [
+            former_owner = cluster.nodes[owner]
+            blocking_requests = [
                 asyncio.ensure_future(
-                    old.router.run_request(sleeping(number, 16.0, True))
+                    former_owner.router.run_request(
+                        make_sleep_submission(number, 16.0, True)
+                    )
                 )
                 for number in range(24)
             ]
             await asyncio.sleep(0.2)
-            job = evolve(sleeping(99, 5.0, True, WorkKind.BATCH), tasks=6)
-            work_id = (await old.router.submit_job(job)).unwrap()
+            job = evolve(make_sleep_submission(99, 5.0, True, WorkKind.BATCH), tasks=6)
+            work_id = (await former_owner.router.submit_job(job)).unwrap()
             cluster.links[owner].store_cut = True
             cluster.cut_off(owner)
             await asyncio.sleep(40.0)
             runs = cluster.runs_of(work_id + "/")
             assert len(runs) == 6
             assert not any(worker.overfilled for worker in cluster.workers.values())
-            for each in blocking:
-                each.cancel()
+            for request in blocking_requests:
+                request.cancel()
 
     run_virtually(session())
