--- a/src/fuchsiadale/decision/errors.py
+++ b/src/fuchsiadale/decision/errors.py
@@ -111,6 +111,6 @@
     message: str
 
     @property
-    def response(self) -> ErrorResponse:
+    def error_response(self) -> ErrorResponse:
         """The response to errors of this kind."""
         return ERROR_RESPONSES[self.kind]
--- a/src/fuchsiadale/entry/answers.py
+++ b/src/fuchsiadale/entry/answers.py
@@ -29,7 +29,7 @@
 
 def refusal_answer(refusal: Refusal, work_id: str = "") -> web.Response:
     """Return the answer that the table gives for a refusal."""
-    answer = refusal.response
+    answer = refusal.error_response
     body = JsonBody(
         {"error": refusal.kind.value, "outcome": answer.execution_outcome.value}
     )
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -56,7 +56,7 @@
             outcome = await self._dispatch(request)
         if isinstance(outcome, Err):
             refusal = outcome.err_value
-            answer = refusal.response
+            answer = refusal.error_response
             status = answer.http_status
             response = _json({"error": refusal.message}, status)
             if answer.retry_after_s is not None:
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -106,7 +106,7 @@
 
     Parameters
     ----------
-    rules : Rules, optional
+    rules : LeaseRules, optional
         The rules to follow; all by default.
     """
 
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -113,14 +113,14 @@
         runs: list[Observation],
     ) -> None:
         if isinstance(outcome, Err):
-            state = outcome.err_value.response.execution_outcome
+            state = outcome.err_value.error_response.execution_outcome
         elif outcome.ok_value.tasks[0].state is TaskState.SUCCEEDED:
             state = ExecutionOutcome.RAN
             answer = json.loads(submission.program.payload)["answer"]
             assert outcome.ok_value.tasks[0].answer == answer.encode()
         else:
             assert outcome.ok_value.refusal is not None
-            state = outcome.ok_value.refusal.response.execution_outcome
+            state = outcome.ok_value.refusal.error_response.execution_outcome
         if state is ExecutionOutcome.RAN:
             assert len(runs) >= 1
         if state is ExecutionOutcome.NOT_RUN:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -116,7 +116,10 @@
             view = (await entry.router.run_request(late)).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.TIMEOUT
-            assert view.refusal.response.execution_outcome is ExecutionOutcome.NOT_RUN
+            assert (
+                view.refusal.error_response.execution_outcome
+                is ExecutionOutcome.NOT_RUN
+            )
             await asyncio.gather(*blocking)
             assert cluster.runs_of(late.work_id + "/") == []
 
