--- a/src/fuchsiadale/decision/authority.py
+++ b/src/fuchsiadale/decision/authority.py
@@ -17,12 +17,13 @@
 
 @frozen
 class AuthorityRules:
-    """Which rules an owner follows; tests disable them one by one.
+    """Which rules an owner follows; each can be disabled on its own for tests.
 
     Attributes
     ----------
     witness_acknowledgement : bool
-        Whether an owner without a lease needs recent acknowledgements of witnesses.
+        Whether an owner without a lease needs a quorum of witnesses that recently
+        acknowledged its heartbeats.
     witness_majority : bool
         Whether adoption and acknowledgement need a majority of the witnesses instead
         of a single one.
@@ -30,8 +31,8 @@
         Whether a new owner waits until the acknowledgements that the former owner
         received have expired.
     rerun_wait : bool
-        Whether a task that may run on a worker that the owner has not adopted is run
-        again only after the leases on that worker have expired.
+        Whether the owner waits for the leases on workers that it has not adopted to
+        expire before it runs the tasks again that may still run there.
     """
 
     witness_acknowledgement: bool = True
@@ -43,9 +44,11 @@
 class Authority:
     """The authority of an owner over one partition in one epoch.
 
-    An owner may act while it holds its member lease. Without the lease it may act while
-    a majority of the witnesses, the workers in the row of the partition, acknowledge
-    its heartbeats.
+    The witnesses are the workers in the row of the partition. A new owner first waits
+    until a majority of them has accepted its epoch, which is called adoption, and until
+    the former owner can no longer act. It may then act while it holds its member lease.
+    Without the lease, and only if the backend servers compare epochs, it may act while
+    a majority of the witnesses acknowledges its heartbeats.
 
     Parameters
     ----------
@@ -57,7 +60,8 @@
         Whether the former owner was declared dead; False if it handed the partition
         over.
     fencing : bool
-        Whether the backend servers compare epochs.
+        Whether the backend servers compare epochs; if not, the owner may act only while
+        it holds its lease.
     rules : AuthorityRules, optional
         The rules to follow; all by default.
     """
@@ -144,6 +148,7 @@
         return stopped_s is not None and self._clock.now() - stopped_s > RERUN_WAIT_S
 
     def _is_takeover_complete(self) -> bool:
+        """Return whether a majority is adopted and the former owner has stopped."""
         if self._witnesses and self._majority_adopted_at_s is None:
             return False
         if not self._rules.takeover_wait:
@@ -156,7 +161,8 @@
 
         A former owner that was declared dead may act on acknowledgements of heartbeats
         that it sent just before a majority of the witnesses was adopted. Returns None
-        until that majority is adopted.
+        until that majority is adopted. Without witnesses the time counts from the
+        acquisition. After a handover the former owner had already stopped.
         """
         if not self._taken_over:
             return self._acquired_at_s
--- a/src/fuchsiadale/decision/constants.py
+++ b/src/fuchsiadale/decision/constants.py
@@ -3,14 +3,16 @@
 Names that end in ``_S`` are in seconds, names that end in ``_BYTES`` in bytes.
 """
 
-# A member renews its lease at this interval. Once its row has not changed for the
-# lease, the other members may declare it dead.
+# How often a member renews its lease.
 MEMBER_RENEWAL_INTERVAL_S = 1.0
+# Once the row of a member has not changed for this long, the other members may declare
+# it dead.
 MEMBER_LEASE_S = 5.0
 # How long the acknowledgement of a heartbeat lets an owner act without its lease,
 # counted from the sending of the heartbeat.
 WITNESS_VALIDITY_S = 3.0
-# How long after the last renewal of its session a worker accepts starts.
+# How long after the last renewal of its session a worker accepts starts. The owner
+# marks a worker as silent after the same time without contact.
 SESSION_TIMEOUT_S = 4.0
 # How long after the last renewal of its session a worker lets its tasks run.
 TASK_LEASE_S = 6.0
@@ -31,30 +33,35 @@
 RETRY_BACKOFF_MAX_S = 10.0
 # A task that has failed this often is not retried.
 MAX_FAILURES_PER_TASK = 5
-# Retries that each new task adds to the retry budget of its queue.
+# Retries with the normal backoff that each new task adds to the budget of its queue.
 RETRY_BUDGET_RATIO = 0.2
-# Retries in the budget of a queue before its first task.
+# Retries with the normal backoff in the budget of a queue before its first task.
 RETRY_BUDGET_INITIAL_TOKENS = 10.0
 
 # Work that has failed on this many workers is poison.
 POISON_WORKER_THRESHOLD = 3
 # A worker is quarantined after this many failures of work that then succeeded on
-# another worker.
+# another worker, without a success of its own in between.
 QUARANTINE_FAILURE_THRESHOLD = 3
+# How long a worker stays in quarantine. It then gets tasks again as a trial, and one
+# more such failure puts it back.
 QUARANTINE_DURATION_S = 30.0
 
 # How long a gang may keep workers reserved.
 GANG_RESERVATION_S = 30.0
-# Tasks that may be queued in one partition.
+# Tasks of one partition that may be queued and ready to be placed.
 MAX_QUEUED_TASKS = 100_000
+# Tasks that one job may have.
 MAX_JOB_TASKS = 10_000
+# Largest payload of a submission.
 MAX_PAYLOAD_BYTES = 1 << 20
 # The journal does not record answers that are larger.
 MAX_ANSWER_IN_JOURNAL_BYTES = 64 << 10
-# How long the result of a request is kept for its caller, and how long a recovered
-# request waits for its caller to submit it again.
+# How long the result of a request is kept for its caller, a recovered request waits for
+# its caller to submit it again, and the end of an attempt of unknown work is kept in
+# case that work is submitted again.
 RESULT_RETENTION_S = 600.0
-# The same once the result was delivered, for a request without an idempotency key.
+# How long the result of a request without an idempotency key is kept once delivered.
 DELIVERED_RETENTION_S = 30.0
 # How long the results of a job are kept after it ended.
 JOB_RETENTION_S = 6 * 3600.0
--- a/src/fuchsiadale/decision/events.py
+++ b/src/fuchsiadale/decision/events.py
@@ -44,14 +44,15 @@
 
 @frozen
 class EndedEvent:
-    """An attempt ended, or a task without an attempt did.
+    """An attempt ended, or a task ended before it had an attempt.
 
     Attributes
     ----------
     task_id, attempt_id : str
         Ids of the task and the attempt; the latter is empty if the task had none.
     worker : str
-        Name of the worker that ran the attempt; empty if there was no attempt.
+        Name of the worker that the attempt was planned on; empty if there was no
+        attempt.
     end : AttemptEnd
         How the attempt ended.
     state : TaskState
@@ -61,7 +62,7 @@
     is_omitted : bool
         Whether the answer is too large to record.
     refusal : Refusal or None
-        The error that callers receive for the work; None if it succeeded.
+        The error of the whole work at that time; None if it has none.
     """
 
     task_id: str
--- a/src/fuchsiadale/decision/failure_tracker.py
+++ b/src/fuchsiadale/decision/failure_tracker.py
@@ -10,8 +10,8 @@
     QUARANTINE_FAILURE_THRESHOLD,
 )
 
-# A worker that fails this many different works without a success in between is
-# quarantined even if none of them succeeds on another worker.
+# A worker that fails attempts of this many submissions, without a success of its own in
+# between, is quarantined even if none of the submissions succeeds on another worker.
 CONSECUTIVE_FAILURE_THRESHOLD = 2 * QUARANTINE_FAILURE_THRESHOLD
 
 
@@ -26,7 +26,8 @@
     """Counts failures by work and by worker.
 
     If work succeeds on one worker after it failed on others, its failures are confirmed
-    to be faults of those workers. Work that fails on several workers is poison.
+    to be faults of those workers. A success of a worker resets its own count. Work that
+    fails on several workers is poison.
     """
 
     def __init__(self) -> None:
--- a/src/fuchsiadale/decision/freshness.py
+++ b/src/fuchsiadale/decision/freshness.py
@@ -30,8 +30,10 @@
 class ConfigFreshness:
     """Tracks how long ago the configuration version in force was confirmed.
 
-    The version is confirmed by the store, by a peer that reaches the store, or by a
-    majority of the members that neither reach the store nor know a newer version.
+    The version is confirmed by the store or by a peer that reaches the store. While
+    this member does not reach the store, the version is also confirmed by more than
+    half of all members, including this one, if none of them reaches the store or knows
+    a newer version.
 
     Parameters
     ----------
@@ -97,7 +99,7 @@
         return self._version > 0 and self._is_recent(self._confirmed_at_s)
 
     def _confirm_by_majority(self) -> None:
-        """Confirm if most members neither reach the store nor know a newer version."""
+        """Confirm if most members lack the store and do not have a newer version."""
         if self.is_store_reachable():
             return
         recent_s = [
--- a/src/fuchsiadale/decision/grants.py
+++ b/src/fuchsiadale/decision/grants.py
@@ -13,8 +13,8 @@
 
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 
-# Number of chunks that a limit is divided into; a grant grows by a chunk more than is
-# needed.
+# Raising a grant adds a chunk, the limit divided by this number, beyond what is wanted,
+# so that a busy partition writes the row less often.
 GRANT_CHUNKS_PER_LIMIT = 16
 
 
@@ -60,7 +60,8 @@
 
     If the limit is below the sum of the grants, each partition gets a ceiling in
     proportion to its grant. Its owner reduces the grant to the ceiling by
-    `lower_grant`.
+    `lower_grant`. If the version or the limit has not changed, earlier ceilings stay;
+    otherwise they are replaced.
 
     Parameters
     ----------
@@ -97,7 +98,9 @@
 
 
 def raise_grant(row: TeamGrants, partition: str, wanted: Resources) -> TeamGrants:
-    """Raise the grant of a partition towards `wanted`, as far as the limit permits.
+    """Raise the grant of a partition towards `wanted`.
+
+    The limit of the team and the ceiling of the partition bound the grant.
 
     The grant is raised by a chunk more than is wanted if so much is available, so that
     a busy partition does not have to write the row at every start.
--- a/src/fuchsiadale/decision/membership.py
+++ b/src/fuchsiadale/decision/membership.py
@@ -145,7 +145,10 @@
 
 
 def slice_index_of(name: str, slice_count: int) -> int:
-    """Return the index, below `slice_count`, of the slice that a name belongs to."""
+    """Return the index of the pool slice that a worker name or work key is hashed to.
+
+    The index is at least 0 and below `slice_count`.
+    """
     return xxhash.xxh3_64_intdigest(name.encode()) % slice_count
 
 
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -69,8 +69,9 @@
     def recover_tasks(self) -> None:
         """Charge the attempts recovered from the journal, and queue the other tasks.
 
-        The queued tasks are held until no attempt of a former owner can be running.
-        Requests are not queued before their callers submit them again.
+        The queued tasks are held until every attempt of a former owner that may still
+        run has been reported or has ended. Requests are not queued before their callers
+        submit them again. Cancellations that a former owner began are resumed.
         """
         partition = self._partition
         for work in list(partition.book.works.values()):
@@ -98,7 +99,8 @@
         workers : iterable of WorkerInfo
             The listed workers that tasks may be placed on.
         witnesses : iterable of str
-            Names of the workers in the partition's row; those not listed have gone.
+            Names of the workers in the partition's row. Those not listed have gone and
+            count as adopted, since they run nothing.
         """
         ledger = self._partition.ledger
         listed: set[str] = set()
@@ -154,8 +156,9 @@
         """Mark workers without recent contact as silent, and end expired attempts.
 
         An attempt is expired once its worker has been out of contact for so long that
-        the worker has certainly ended it. Attempts that were recovered from the journal
-        and whose workers are no longer listed end in the same way.
+        the worker has certainly ended it. Recovered attempts whose workers are no
+        longer listed end as lost once the same time has passed since this object was
+        created.
         """
         now_s = self._clock.now()
         if (
@@ -219,6 +222,11 @@
         self._partition.started(orphan.attempt_id)
 
     def _adopt_running(self, name: str, running: RunningAttempt) -> None:
+        """Charge a running attempt, and relate it to its task.
+
+        It becomes the attempt of a pending task. If its task has ended or has another
+        attempt, it is stopped. If its work is unknown, it is kept as an orphan.
+        """
         partition = self._partition
         attempt = evolve(
             self._make_placeholder_attempt(name, running.attempt_id),
@@ -252,6 +260,10 @@
         )
 
     def _process_end(self, name: str, ended: EndedAttempt) -> None:
+        """Apply the end of an attempt to its task, or keep it if the work is unknown.
+
+        The end is acknowledged once it is recorded or delivered.
+        """
         partition = self._partition
         attempt_id = ended.attempt_id
         task = partition.book.task(task_id_of(attempt_id))
@@ -336,9 +348,9 @@
         """End an attempt that its worker reports neither as running nor as ended.
 
         A worker reports the end of an attempt until it is acknowledged, and the owner
-        acknowledges it only after recording it. So if the worker has not rebooted since
-        the attempt was planned, the attempt never ran; otherwise it is unknown whether
-        it ran.
+        acknowledges it only after it is recorded or the caller has the result. So if
+        the worker has not rebooted since the attempt was planned, the attempt never
+        ran; otherwise it is unknown whether it ran.
         """
         end = AttemptEnd.LOST
         if attempt.boot_id and attempt.boot_id == report.boot_id:
@@ -353,6 +365,10 @@
     def _end_attempts_of_silent_worker(
         self, name: str, attempts: list[Attempt]
     ) -> None:
+        """End attempts that a silent worker has certainly ended.
+
+        Those that were not sent count as not run, the others as lost.
+        """
         for attempt in attempts:
             task = self._partition.book.current_task(attempt.attempt_id)
             if task is None:
@@ -368,7 +384,10 @@
                 )
 
     def _stop_if_superseded(self, name: str, attempt_id: str) -> None:
-        """Stop an attempt if its task has ended or has another attempt."""
+        """Stop a reported attempt that its known task no longer needs.
+
+        Such an attempt is neither the current attempt of the task nor an orphan.
+        """
         partition = self._partition
         if attempt_id in self._orphans or partition.book.current_task(attempt_id):
             return
@@ -389,7 +408,7 @@
             ledger.change_state(name, "adopt")
 
     def _remove_worker(self, name: str) -> None:
-        """Mark a worker as gone, and remove it once no attempt is charged to it."""
+        """Mark a worker as gone, and remove it if no attempt is charged to it."""
         ledger = self._partition.ledger
         ledger.change_state(name, "vanish")
         if not ledger.workers[name].attempts:
--- a/src/fuchsiadale/decision/reports.py
+++ b/src/fuchsiadale/decision/reports.py
@@ -59,8 +59,8 @@
     clock_s : float
         Reading of the worker's clock at the time of the answer, in seconds.
     usage : Resources
-        Resources that the tasks use as measured, which lags behind; no resources if
-        the worker does not measure.
+        Measured resource usage of the tasks, which may be out of date; `NO_RESOURCES`
+        if the worker does not measure it.
     leaving : bool
         Whether the worker is about to leave.
     running : tuple of RunningAttempt
--- a/src/fuchsiadale/decision/retry.py
+++ b/src/fuchsiadale/decision/retry.py
@@ -25,7 +25,7 @@
     FAIL
         The task has failed and is not retried.
     RETRY
-        The task is queued again.
+        The task is queued again, unless its work is poison or it has failed too often.
     FAIL_AS_UNKNOWN
         The task is not retried, and its outcome is reported as unknown.
     """
@@ -59,6 +59,7 @@
 
     The delay doubles with every attempt up to its maximum.
     """
+    # 16 doublings exceed the maximum delay, and the bound keeps the shift small.
     exponent = min(max(attempts_made - 1, 0), 16)
     delay_s = RETRY_BACKOFF_INITIAL_S * float(1 << exponent)
     return min(delay_s, RETRY_BACKOFF_MAX_S)
@@ -66,18 +67,21 @@
 
 @define
 class RetryBudget:
-    """Limits the retries of a queue to a fraction of its new tasks.
+    """Limits the retries of a queue that are made with the normal backoff.
+
+    They are limited to a fraction of the new tasks of the queue. Further retries wait
+    for the maximum backoff.
 
     Attributes
     ----------
     tokens : float
-        Number of retries that may be made now.
+        Number of retries that may still be made with the normal backoff.
     """
 
     tokens: float = RETRY_BUDGET_INITIAL_TOKENS
 
     def deposit(self, task_count: int) -> None:
-        """Add the retries for `task_count` new tasks, up to a maximum."""
+        """Add retries for new tasks, up to 1000 above the initial number."""
         added = task_count * RETRY_BUDGET_RATIO
         self.tokens = min(self.tokens + added, RETRY_BUDGET_INITIAL_TOKENS + 1000.0)
 
--- a/src/fuchsiadale/decision/rows.py
+++ b/src/fuchsiadale/decision/rows.py
@@ -79,7 +79,8 @@
     epoch : int
         Epoch of the current owner; every change of the owner raises it.
     witnesses : tuple of str
-        Names of the workers that the owner may place tasks on.
+        Names of the workers that the owner may place tasks on, or that still have its
+        attempts. A majority of them must accept a new owner.
     snapshot : str
         Name of the object that holds the state before the segments; empty if there is
         none.
@@ -112,14 +113,26 @@
 
 @frozen
 class JournalRow:
-    """The row that one group commit of a member wrote to its journal."""
+    """The row that one group commit of a member wrote to its journal.
+
+    Attributes
+    ----------
+    entries : list of JournalEntry
+        The events by partition.
+    """
 
     entries: list[JournalEntry] = field(factory=list)
 
 
 @frozen
 class EpochRow:
-    """The row that holds the highest epoch given to any partition so far."""
+    """The row that holds the highest epoch given to any partition so far.
+
+    Attributes
+    ----------
+    epoch : int
+        The epoch.
+    """
 
     epoch: int
 
--- a/src/fuchsiadale/decision/session.py
+++ b/src/fuchsiadale/decision/session.py
@@ -34,8 +34,9 @@
     session_timeout : bool
         Whether starts are refused without a recent heartbeat.
     echoed_clock : bool
-        Whether a heartbeat renews the session as of the clock reading that it echoes,
-        instead of its arrival.
+        Whether a heartbeat renews the session from the reading of the worker's clock
+        that it carries. Otherwise it renews from its arrival, and a delayed heartbeat
+        prolongs the session.
     """
 
     fencing: bool = True
@@ -57,6 +58,7 @@
     def __init__(self, now_s: float, rules: SessionRules | None = None) -> None:
         self._rules = rules or SessionRules()
         self._epoch = 0
+        # The session starts as expired; only a heartbeat opens it.
         self._renewed_at_s = now_s - SESSION_TIMEOUT_S - TASK_LEASE_S
 
     @property
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -24,7 +24,8 @@
     worker : str
         Name of the worker that runs the task or ran it last; empty if there is none.
     waited_s : float or None
-        Seconds from the acceptance of the task to its first start; None before that.
+        Seconds from the acceptance of the task, or from its recovery by the current
+        owner, to the first start that this owner saw; None before that.
     answer : bytes
         What the task returned.
     is_omitted : bool
@@ -129,7 +130,7 @@
     may_act : bool
         Whether the owner may place and start tasks now.
     pending : int
-        Number of tasks that wait to be placed.
+        Number of queued tasks that may be placed now.
     works : int
         Number of requests and jobs that the partition keeps, ended ones included.
     workers : list of WorkerView
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -1,8 +1,8 @@
-"""A model of two hosts, three workers and one task that runs the real lease rules.
+"""A model of two hosts, three workers and one task, driven by the real lease rules.
 
-Messages may be late, hosts may lose the store or workers, and a host may be dead. The
-task may be started without a journal record, so a new owner learns of it only from the
-workers.
+Messages may be late, hosts may lose the connection to the store or to workers, and a
+host may be dead. The task may be started without a journal record. This is the hardest
+case: only the lease rules prevent a second run.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 from fuchsiadale.decision.session import SessionRules, WorkerSession
 
 WORKERS = ("w0", "w1", "w2")
+# The clocks of the workers differ, since the rules must not compare clocks of hosts.
 CLOCK_OFFSETS_S = {"w0": 500.0, "w1": 0.0, "w2": 9000.0}
 
 
@@ -90,7 +91,22 @@
 
 @frozen
 class Message:
-    """An adoption, a heartbeat or a start that is in flight."""
+    """An adoption, a heartbeat or a start that is in flight.
+
+    Attributes
+    ----------
+    kind : str
+        ``adopt``, ``heartbeat`` or ``start``.
+    host, worker : str
+        The sender and the receiver.
+    epoch : int
+        Epoch of the sender.
+    echo_s, valid_until_s : float
+        On the worker's clock, the last reading that the sender received and the time
+        after which a start is refused.
+    sent_s : float
+        When the message was sent, on the clock that the hosts share.
+    """
 
     kind: str
     host: str
@@ -217,8 +233,8 @@
     def _process_answer(self, host: Host, message: Message, runs: bool) -> None:
         host.clock_readings_s[message.worker] = self._worker_clock_s(message.worker)
         host.readings_received_at_s[message.worker] = self.clock.now()
-        heard_s = host.last_contact_s.get(message.worker, message.sent_s)
-        host.last_contact_s[message.worker] = max(heard_s, message.sent_s)
+        previous_contact_s = host.last_contact_s.get(message.worker, message.sent_s)
+        host.last_contact_s[message.worker] = max(previous_contact_s, message.sent_s)
         if message.kind == "adopt":
             host.authority.record_adoption(message.worker)
         elif message.kind == "heartbeat":
--- a/tests/test_lease_rules.py
+++ b/tests/test_lease_rules.py
@@ -1,4 +1,7 @@
-"""Tests that the lease rules keep a task from running on two workers at a time."""
+"""Tests that the lease rules keep a task from running on two workers at a time.
+
+Without each of the rules in `SCHEDULES` the task would run on two workers.
+"""
 
 from __future__ import annotations
 
@@ -171,6 +174,7 @@
         former_owner_keeps_sending_heartbeats,
         LeaseRules(session=SessionRules(fencing=False)),
     ),
+    # Either of these two rules alone refuses the late start.
     (
         "session and start validity",
         start_is_delivered_late,
@@ -204,7 +208,7 @@
     [(schedule, rules) for _, schedule, rules in SCHEDULES],
     ids=[name for name, _, _ in SCHEDULES],
 )
-def test_task_runs_on_two_workers_without_the_rule(
+def test_task_runs_on_two_workers_only_without_the_rule(
     schedule: Callable[[LeaseWorld], None], rules: LeaseRules
 ) -> None:
     guarded = LeaseWorld()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -133,20 +133,20 @@
 def test_running_tasks_never_exceed_the_limit(
     steps: list[tuple[str, str, int, bool]],
 ) -> None:
-    world = GrantModel()
+    model = GrantModel()
     for kind, partition, count, is_answered in steps:
         if kind == "run":
-            world.run_tasks(partition, count, is_answered)
+            model.run_tasks(partition, count, is_answered)
         elif kind == "end":
-            world.running[partition] = max(0, world.running[partition] - count)
+            model.running[partition] = max(0, model.running[partition] - count)
         elif kind == "return":
-            world.return_unused(partition, is_answered)
+            model.return_unused(partition, is_answered)
         elif kind == "forget":
-            world.read_grant(partition)
+            model.read_grant(partition)
         else:
-            world.set_limit(count)
-        assert sum(world.running.values()) <= world.task_limit
-        assert world.row.total_granted.slots <= world.task_limit
+            model.set_limit(count)
+        assert sum(model.running.values()) <= model.task_limit
+        assert model.row.total_granted.slots <= model.task_limit
 
 
 def test_older_configuration_cannot_raise_a_limit() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -238,7 +238,8 @@
     run_virtually(session())
 
 
-def test_former_owner_stops_renewing_tasks_the_new_owner_cannot_reach() -> None:
+def test_task_the_new_owner_cannot_reach_never_runs_on_two_workers() -> None:
+    # The isolated former owner has to stop renewing the task.
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
