--- a/src/fuchsiadale/decision/grants.py
+++ b/src/fuchsiadale/decision/grants.py
@@ -86,7 +86,7 @@
     if not granted.fits_in(limit):
         allowed = granted.minimum(limit)
         for partition, grant in row.grants.items():
-            ceilings[partition] = grant.scaled_down(allowed, granted)
+            ceilings[partition] = grant.scaled_by_ratio(allowed, granted)
     return Ok(
         TeamGrants(
             limit=limit,
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -74,16 +74,16 @@
         submit them again. Cancellations that a former owner began are resumed.
         """
         partition = self._partition
-        for work in list(partition.book.works.values()):
-            work.is_dormant = work.submission.kind is WorkKind.REQUEST
+        for work in list(partition.work_registry.works.values()):
+            work.awaits_resubmission = work.submission.kind is WorkKind.REQUEST
             for task in work.tasks:
                 if task.state.is_final:
                     continue
                 attempt = task.attempt
                 if attempt is None:
-                    partition.enqueue(task, held=True)
+                    partition.enqueue(task, may_be_running=True)
                 elif attempt.worker in partition.ledger.workers:
-                    partition.scheduler.charge(attempt)
+                    partition.scheduler.allocate_running(attempt)
                 else:
                     self._attempts_on_missing_workers.append(attempt.attempt_id)
             if work.cancelled:
@@ -105,10 +105,10 @@
         ledger = self._partition.ledger
         listed: set[str] = set()
         for info in workers:
-            ledger.add(info)
+            ledger.add_or_update(info)
             listed.add(info.name)
             if info.leaving:
-                self._partition.evacuate(info.name)
+                self._partition.evacuate_worker(info.name)
         for name in set(ledger.workers) - listed:
             self._remove_worker(name)
         for name in set(witnesses) - listed:
@@ -126,7 +126,7 @@
         for ended in report.ended:
             self._process_end(name, ended)
         partition.ledger.workers[name].boot_id = report.boot_id
-        partition.ledger.set_usage(name, report.usage)
+        partition.ledger.set_measured_usage(name, report.usage)
         self._resolve_former_attempts(name, report)
         partition.ledger.change_state(name, "adopt")
         self._update_leaving_state(name, report)
@@ -144,13 +144,13 @@
         partition.ledger.workers[name].boot_id = report.boot_id
         reported_ids = {running.attempt_id for running in report.running}
         for attempt_id in reported_ids:
-            partition.started(attempt_id)
+            partition.mark_started(attempt_id)
             self._stop_if_superseded(name, attempt_id)
         self._end_unreported(name, reported_ids, sent_s, report)
         if partition.ledger.workers[name].state is WorkerState.SILENT:
             partition.ledger.change_state(name, "adopt")
         self._update_leaving_state(name, report)
-        partition.ledger.set_usage(name, report.usage)
+        partition.ledger.set_measured_usage(name, report.usage)
 
     def process_timeouts(self) -> None:
         """Mark workers without recent contact as silent, and end expired attempts.
@@ -166,7 +166,9 @@
             and now_s - self._created_at_s > RERUN_WAIT_S
         ):
             for attempt_id in self._attempts_on_missing_workers:
-                self._partition.ended(attempt_id, AttemptEnd.LOST, reason="worker_gone")
+                self._partition.mark_ended(
+                    attempt_id, AttemptEnd.LOST, reason="worker_gone"
+                )
             self._attempts_on_missing_workers.clear()
         for name, worker in self._partition.ledger.workers.items():
             silent_s = now_s - self._last_contact_s.get(name, self._created_at_s)
@@ -204,10 +206,10 @@
 
     def _attach_orphan(self, submission: Submission, orphan: Attempt) -> None:
         """Make an orphan the current attempt of its task, if the task is pending."""
-        task = self._partition.book.task(orphan.task_id)
+        task = self._partition.work_registry.find_task(orphan.task_id)
         if task is None or task.state is not TaskState.PENDING:
             return
-        self._partition.unqueue(task)
+        self._partition.dequeue(task)
         task.attempt = Attempt(
             attempt_id=orphan.attempt_id,
             task_id=orphan.task_id,
@@ -219,7 +221,7 @@
         )
         task.state = TaskState.STARTING
         self._orphans.pop(orphan.attempt_id, None)
-        self._partition.started(orphan.attempt_id)
+        self._partition.mark_started(orphan.attempt_id)
 
     def _adopt_running(self, name: str, running: RunningAttempt) -> None:
         """Charge a running attempt, and relate it to its task.
@@ -233,16 +235,21 @@
             resources=running.resources,
             team=running.team,
         )
-        partition.scheduler.charge(attempt)
-        if partition.book.current_task(running.attempt_id) is not None:
-            partition.started(running.attempt_id)
+        partition.scheduler.allocate_running(attempt)
+        if (
+            partition.work_registry.find_task_by_current_attempt(running.attempt_id)
+            is not None
+        ):
+            partition.mark_started(running.attempt_id)
             return
-        task = partition.book.task(attempt.task_id)
+        task = partition.work_registry.find_task(attempt.task_id)
         if task is not None and task.state is TaskState.PENDING:
             self._orphans[running.attempt_id] = attempt
             self._attach_orphan(task.submission, attempt)
         elif task is not None:
-            partition.order_stop(StopOrder(name, running.attempt_id, False))
+            partition.stop_superseded_attempt(
+                StopOrder(name, running.attempt_id, False)
+            )
             self._orphans[running.attempt_id] = attempt
         else:
             self._orphans[running.attempt_id] = attempt
@@ -266,7 +273,7 @@
         """
         partition = self._partition
         attempt_id = ended.attempt_id
-        task = partition.book.task(task_id_of(attempt_id))
+        task = partition.work_registry.find_task(task_id_of(attempt_id))
         orphan = self._orphans.pop(attempt_id, None)
         if orphan is not None:
             partition.scheduler.release(orphan)
@@ -280,13 +287,15 @@
             self._attach_orphan(
                 task.submission, self._make_placeholder_attempt(name, attempt_id)
             )
-        if partition.book.current_task(attempt_id) is not None:
-            partition.ended(attempt_id, ended.end, ended.answer)
-            is_recorded = task.submission.is_journalled and not task.record_due
+        if partition.work_registry.find_task_by_current_attempt(attempt_id) is not None:
+            partition.mark_ended(attempt_id, ended.end, ended.answer)
+            is_recorded = (
+                task.submission.is_journalled and not task.is_end_record_deferred
+            )
             if task.state.is_final and not is_recorded:
-                task.acknowledgement_due = True
+                task.is_acknowledgement_deferred = True
                 return
-        if not task.acknowledgement_due:
+        if not task.is_acknowledgement_deferred:
             partition.acknowledge(name, attempt_id)
 
     def _resolve_former_attempts(self, name: str, report: WorkerReport) -> None:
@@ -302,7 +311,7 @@
             attempt_id = attempt.attempt_id
             if attempt_id in reported_ids or attempt.epoch == partition.epoch:
                 continue
-            task = partition.book.current_task(attempt_id)
+            task = partition.work_registry.find_task_by_current_attempt(attempt_id)
             if task is None:
                 self._release_orphan(attempt)
             elif worker.info.fencing:
@@ -333,12 +342,12 @@
             attempt_id = attempt.attempt_id
             if attempt_id in reported_ids:
                 continue
-            task = partition.book.current_task(attempt_id)
+            task = partition.work_registry.find_task_by_current_attempt(attempt_id)
             if task is None:
                 self._release_orphan(attempt)
             elif task.state is TaskState.RUNNING:
                 if task.acknowledged_at_s < sent_s:
-                    partition.ended(attempt_id, AttemptEnd.LOST, reason="vanished")
+                    partition.mark_ended(attempt_id, AttemptEnd.LOST, reason="vanished")
             elif task.state is TaskState.STARTING:
                 valid_until_s = task.start_valid_until_s
                 if valid_until_s is not None and report.clock_s > valid_until_s:
@@ -355,7 +364,7 @@
         end = AttemptEnd.LOST
         if attempt.boot_id and attempt.boot_id == report.boot_id:
             end = AttemptEnd.NOT_RUN
-        self._partition.ended(attempt.attempt_id, end, reason="never_started")
+        self._partition.mark_ended(attempt.attempt_id, end, reason="never_started")
 
     def _release_orphan(self, attempt: Attempt) -> None:
         """Release the resources of an orphan that is no longer running."""
@@ -370,16 +379,18 @@
         Those that were not sent count as not run, the others as lost.
         """
         for attempt in attempts:
-            task = self._partition.book.current_task(attempt.attempt_id)
+            task = self._partition.work_registry.find_task_by_current_attempt(
+                attempt.attempt_id
+            )
             if task is None:
                 self._orphans.pop(attempt.attempt_id, None)
                 self._partition.scheduler.release(attempt)
             elif task.state is TaskState.PLACED:
-                self._partition.ended(
+                self._partition.mark_ended(
                     attempt.attempt_id, AttemptEnd.NOT_RUN, reason="worker_silent"
                 )
             else:
-                self._partition.ended(
+                self._partition.mark_ended(
                     attempt.attempt_id, AttemptEnd.LOST, reason="worker_silent"
                 )
 
@@ -389,10 +400,13 @@
         Such an attempt is neither the current attempt of the task nor an orphan.
         """
         partition = self._partition
-        if attempt_id in self._orphans or partition.book.current_task(attempt_id):
+        if (
+            attempt_id in self._orphans
+            or partition.work_registry.find_task_by_current_attempt(attempt_id)
+        ):
             return
-        if partition.book.task(task_id_of(attempt_id)) is not None:
-            partition.order_stop(StopOrder(name, attempt_id, False))
+        if partition.work_registry.find_task(task_id_of(attempt_id)) is not None:
+            partition.stop_superseded_attempt(StopOrder(name, attempt_id, False))
 
     def _record_contact(self, name: str, sent_s: float) -> None:
         self._last_contact_s[name] = max(self._last_contact_s.get(name, sent_s), sent_s)
@@ -402,7 +416,7 @@
         worker = ledger.workers[name]
         if report.leaving:
             ledger.change_state(name, "leave")
-            self._partition.evacuate(name)
+            self._partition.evacuate_worker(name)
         elif worker.state is WorkerState.LEAVING and not worker.info.leaving:
             ledger.change_state(name, "return_")
             ledger.change_state(name, "adopt")
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -164,7 +164,7 @@
             state=worker.state,
             failure_domain=worker.info.failure_domain,
             capacity=worker.info.capacity,
-            free=worker.free,
+            free=worker.unallocated,
             attempts=list(worker.attempts),
         )
         for name, worker in sorted(partition.ledger.workers.items())
@@ -173,8 +173,8 @@
         name=partition.name,
         epoch=partition.epoch,
         may_act=partition.authority.may_act(),
-        pending=scheduler.pending_count,
-        works=len(partition.book.works),
+        pending=scheduler.queued_count,
+        works=len(partition.work_registry.works),
         workers=workers,
         teams=teams,
     )
--- a/src/fuchsiadale/decision/workbook.py
+++ b/src/fuchsiadale/decision/work_registry.py
@@ -1,4 +1,4 @@
-"""The book of a partition's accepted work."""
+"""Registry of the work that a partition has accepted."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     work_id_of,
 )
 
-_END_OF_STATE = {
+_END_BY_STATE = {
     TaskState.SUCCEEDED: AttemptEnd.SUCCEEDED,
     TaskState.FAILED: AttemptEnd.FAILED,
     TaskState.CANCELLED: AttemptEnd.STOPPED,
@@ -43,15 +43,15 @@
 
 
 @frozen
-class TeamKey:
-    """An idempotency key, which belongs to one team."""
+class IdempotencyKey:
+    """An idempotency key in the scope of one team."""
 
     team: str
     key: str
 
 
-def planned(attempt: Attempt) -> PlannedEvent:
-    """Return the event that records an attempt."""
+def planned_event(attempt: Attempt) -> PlannedEvent:
+    """Return the journal event that records a planned attempt."""
     return PlannedEvent(
         task_id=attempt.task_id,
         attempt_id=attempt.attempt_id,
@@ -61,21 +61,21 @@
     )
 
 
-def ended(task: Task, state: TaskState, end: AttemptEnd) -> EndedEvent:
-    """Return the event that records the end of a task's attempt.
+def ended_event(task: Task, state: TaskState, end: AttemptEnd) -> EndedEvent:
+    """Return the journal event that records the end of a task's attempt.
 
     Parameters
     ----------
     task : Task
-        The task, with the attempt that ended and its answer.
+        The task, with its answer and the attempt that ended, if it had one.
     state : TaskState
-        The task's state from here on.
+        State of the task after the attempt.
     end : AttemptEnd
-        How the attempt ended.
+        Outcome of the attempt.
     """
     attempt = task.attempt
     answer = task.answer
-    is_recordable = answer is None or answer.is_recordable
+    is_recordable = answer is None or answer.fits_in_journal
     return EndedEvent(
         task_id=task.task_id,
         attempt_id=attempt.attempt_id if attempt else "",
@@ -88,41 +88,45 @@
     )
 
 
-class WorkBook:
-    """All work of a partition, by id and by idempotency key."""
+class WorkRegistry:
+    """Holds the work of a partition, by work id and by idempotency key."""
 
     def __init__(self) -> None:
-        self._works: dict[str, Work] = {}
-        self._keys: dict[TeamKey, str] = {}
+        self._work_by_id: dict[str, Work] = {}
+        self._work_id_by_key: dict[IdempotencyKey, str] = {}
 
     @property
     def works(self) -> dict[str, Work]:
-        """The works by id."""
-        return self._works
+        """All work by work id."""
+        return self._work_by_id
 
-    def find(self, submission: Submission) -> Result[Work | None, Refusal]:
-        """Return the work that a repeated submission refers to.
+    def find_duplicate(self, submission: Submission) -> Result[Work | None, Refusal]:
+        """Return the accepted work that a submission repeats.
 
         Parameters
         ----------
         submission : Submission
-            A submission that may repeat an earlier one, by work id or by key.
+            A submission that may repeat an earlier one, with the same work id or the
+            same idempotency key.
 
         Returns
         -------
         Result
-            The earlier work, None if there is none, or a refusal with kind
-            ``KEY_REUSED`` if the key was used for something else.
+            The earlier work, or None if there is none. A refusal with kind
+            ``KEY_REUSED`` if the earlier submission with this key differs in
+            more than its work id, deadline or resubmission mark.
         """
-        work = self._works.get(submission.work_id)
+        work = self._work_by_id.get(submission.work_id)
         if work is not None:
             return Ok(work)
         if not submission.key:
             return Ok(None)
-        work_id = self._keys.get(TeamKey(submission.team, submission.key))
+        work_id = self._work_id_by_key.get(
+            IdempotencyKey(submission.team, submission.key)
+        )
         if work_id is None:
             return Ok(None)
-        earlier = self._works[work_id]
+        earlier = self._work_by_id[work_id]
         repeated = evolve(
             submission,
             work_id=earlier.submission.work_id,
@@ -135,97 +139,104 @@
         return Ok(earlier)
 
     def add(self, submission: Submission, now_s: float) -> Work:
-        """Enter a submission."""
+        """Register a submission and return its work."""
         work = make_work(submission, now_s)
-        self._works[submission.work_id] = work
+        self._work_by_id[submission.work_id] = work
         if submission.key:
-            key = TeamKey(submission.team, submission.key)
-            self._keys[key] = submission.work_id
+            key = IdempotencyKey(submission.team, submission.key)
+            self._work_id_by_key[key] = submission.work_id
         return work
 
     def discard(self, work: Work) -> None:
-        """Remove work as if it had never been entered."""
+        """Remove work as if it had never been registered."""
         submission = work.submission
-        self._works.pop(submission.work_id, None)
+        self._work_by_id.pop(submission.work_id, None)
         if submission.key:
-            self._keys.pop(TeamKey(submission.team, submission.key), None)
+            self._work_id_by_key.pop(
+                IdempotencyKey(submission.team, submission.key), None
+            )
 
-    def task(self, task_id: str) -> Task | None:
-        """Return the task with this id, if it is known."""
-        work = self._works.get(work_id_of(task_id))
+    def find_task(self, task_id: str) -> Task | None:
+        """Return the task with this id, or None if it is unknown."""
+        work = self._work_by_id.get(work_id_of(task_id))
         if work is None:
             return None
         index = int(task_id.rpartition("/")[2])
         return work.tasks[index] if index < len(work.tasks) else None
 
-    def current_task(self, attempt_id: str) -> Task | None:
-        """Return the task whose attempt in hand has this id."""
-        task = self.task(task_id_of(attempt_id))
+    def find_task_by_current_attempt(self, attempt_id: str) -> Task | None:
+        """Return the unfinished task whose current attempt has this id, if any."""
+        task = self.find_task(task_id_of(attempt_id))
         if task is None or task.attempt is None or task.state.is_final:
             return None
         return task if task.attempt.attempt_id == attempt_id else None
 
-    def has_unsettled_starts(self) -> bool:
-        """Tell whether an attempt is planned or sent, but not confirmed."""
+    def has_unconfirmed_starts(self) -> bool:
+        """Tell whether any attempt is planned or sent, but not confirmed to run."""
         return any(
             task.state in (TaskState.PLACED, TaskState.STARTING)
-            for work in self._works.values()
+            for work in self._work_by_id.values()
             if not work.is_final
             for task in work.tasks
         )
 
-    def finish(self, task: Task, state: TaskState, now_s: float) -> None:
-        """Put a task into a final state."""
+    def finish_task(self, task: Task, state: TaskState, now_s: float) -> None:
+        """Put a task into a final state, unless it has ended already."""
         if task.state.is_final:
             return
         task.state = state
-        task.work.remaining -= 1
+        task.work.unfinished_count -= 1
         if task.work.is_final:
             task.work.ended_at_s = now_s
 
-    def expire(self, now_s: float) -> int:
-        """Drop work that ended long ago; return how much was dropped."""
-        old: list[Work] = []
-        for work in self._works.values():
-            if work.is_dormant and _is_abandoned(work, now_s):
-                old.append(work)
+    def remove_expired(self, now_s: float) -> int:
+        """Remove work that is no longer retained; return the number removed.
+
+        This is ended work after its retention time, and recovered requests that were
+        not submitted again in time.
+        """
+        expired: list[Work] = []
+        for work in self._work_by_id.values():
+            if work.awaits_resubmission and _is_abandoned(work, now_s):
+                expired.append(work)
             if work.ended_at_s is None:
                 continue
             if now_s - work.ended_at_s > _retention_s(work):
-                old.append(work)
-        for work in old:
+                expired.append(work)
+        for work in expired:
             self.discard(work)
-        return len(old)
+        return len(expired)
 
     def replay(self, event: JournalEvent, epoch: int, now_s: float) -> None:
-        """Apply a recorded event of an earlier owner.
+        """Apply a journal event of a former owner.
 
         Parameters
         ----------
         event : JournalEvent
             The event.
         epoch : int
-            The epoch of the new owner.
+            Epoch of the new owner; not used.
         now_s : float
-            The clock time that ages are counted from.
+            Clock time that is recorded as the queue time of replayed submissions and as
+            the end time of work that ended.
         """
         match event:
             case AcceptedEvent(submission=submission):
-                if submission.work_id not in self._works:
+                if submission.work_id not in self._work_by_id:
                     self.add(submission, now_s)
             case PlannedEvent():
                 self._replay_planned(event)
             case EndedEvent():
                 self._replay_ended(event, now_s)
             case CancelledEvent(work_id=work_id, refusal=refusal):
-                work = self._works.get(work_id)
+                work = self._work_by_id.get(work_id)
                 if work is not None:
                     work.cancelled = True
                     work.refusal = refusal
 
-    def snapshot(self) -> Iterator[JournalEvent]:
-        """Yield the events that lead to the present state."""
-        for work in self._works.values():
+    def snapshot_events(self) -> Iterator[JournalEvent]:
+        """Yield journal events whose replay restores the journalled work."""
+        for work in self._work_by_id.values():
             if not work.submission.is_journalled:
                 continue
             yield AcceptedEvent(work.submission)
@@ -237,12 +248,12 @@
     def _snapshot_task(self, task: Task) -> Iterator[JournalEvent]:
         attempt = task.attempt
         if task.state.is_final:
-            yield ended(task, task.state, _END_OF_STATE[task.state])
+            yield ended_event(task, task.state, _END_BY_STATE[task.state])
         elif attempt is not None:
-            yield planned(attempt)
+            yield planned_event(attempt)
 
     def _replay_planned(self, event: PlannedEvent) -> None:
-        task = self.task(event.task_id)
+        task = self.find_task(event.task_id)
         if task is None or task.state.is_final:
             return
         submission = task.submission
@@ -259,19 +270,21 @@
         )
 
     def _replay_ended(self, event: EndedEvent, now_s: float) -> None:
-        task = self.task(event.task_id)
+        task = self.find_task(event.task_id)
         if task is None or task.state.is_final:
             return
         attempt = task.attempt
-        is_other = attempt is not None and attempt.attempt_id != event.attempt_id
-        if event.attempt_id and is_other:
+        is_other_attempt = (
+            attempt is not None and attempt.attempt_id != event.attempt_id
+        )
+        if event.attempt_id and is_other_attempt:
             return
         if event.state.is_final:
             task.work.refusal = event.refusal
             task.answer = TaskAnswer(
                 event.attempt_id, event.worker, event.answer, event.is_omitted
             )
-            self.finish(task, event.state, now_s)
+            self.finish_task(task, event.state, now_s)
         else:
             task.attempt = None
             task.state = TaskState.PENDING
@@ -280,7 +293,7 @@
 
 
 def _retention_s(work: Work) -> float:
-    """Return the seconds for which ended work may still be asked for."""
+    """Return for how many seconds after its end work is kept."""
     if work.submission.kind is not WorkKind.REQUEST:
         return JOB_RETENTION_S
     if work.is_delivered and not work.submission.key:
@@ -289,7 +302,7 @@
 
 
 def _is_abandoned(work: Work, now_s: float) -> bool:
-    """Tell whether nobody asked for a recovered request in time."""
+    """Tell whether a recovered request was not submitted again in time."""
     return all(
         task.attempt is None and now_s - task.queued_at_s > RESULT_RETENTION_S
         for task in work.tasks
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,9 +18,9 @@
     journal_prefix,
 )
 from fuchsiadale.decision.work import AttemptEnd, Program, TaskState, WorkKind
-from fuchsiadale.decision.workbook import WorkBook
+from fuchsiadale.decision.work_registry import WorkRegistry
 from fuchsiadale.entry import hosted_partition
-from tests.builders import PARTITION, PartitionBench, make_submission
+from tests.builders import PARTITION, PartitionHarness, make_submission
 from tests.cluster import TestCluster
 from tests.test_takeover import make_sleep_submission
 from tests.virtual_loop import run_virtually
@@ -34,7 +34,7 @@
 ]
 
 
-def recoverable_state(book: WorkBook) -> dict[str, object]:
+def recoverable_state(work_registry: WorkRegistry) -> dict[str, object]:
     """Return the state that must be recovered: states, attempts, answers and keys."""
     return {
         task.task_id: (
@@ -43,7 +43,7 @@
             task.answer.body if task.answer else b"",
             work.submission.key,
         )
-        for work in book.works.values()
+        for work in work_registry.works.values()
         if work.submission.is_journalled
         for task in work.tasks
     }
@@ -60,33 +60,37 @@
 def test_replay_of_snapshot_and_journal_restores_the_owners_state(
     steps: list[tuple[str, int]], snapshot_at: int
 ) -> None:
-    bench = PartitionBench()
+    harness = PartitionHarness()
     events = []
     running: list[str] = []
     for number, (action, pick) in enumerate(steps):
         if number == snapshot_at:
-            events = list(bench.partition.book.snapshot())
+            events = list(harness.partition.work_registry.snapshot_events())
         if action == "submit":
             kind = [WorkKind.BATCH, WorkKind.REQUEST, WorkKind.GANG][pick % 3]
             tasks = 1 if kind is WorkKind.REQUEST else 1 + pick % 3
-            bench.partition.accept(
+            harness.partition.accept(
                 make_submission(number, kind, tasks=tasks, key=f"key {number}")
             )
         elif running:
             end = ENDS[pick % len(ENDS)]
-            bench.partition.ended(running.pop(pick % len(running)), end, b"answer")
-        bench.advance(0.5)
-        actions = bench.partition.step()
+            harness.partition.mark_ended(
+                running.pop(pick % len(running)), end, b"answer"
+            )
+        harness.advance(0.5)
+        actions = harness.partition.step()
         events.extend(actions.events)
         for attempt in actions.starts:
-            bench.partition.mark_sent(attempt, 1e9)
-            bench.partition.started(attempt.attempt_id)
+            harness.partition.mark_sent(attempt, 1e9)
+            harness.partition.mark_started(attempt.attempt_id)
             running.append(attempt.attempt_id)
     row = decode(encode(JournalRow([JournalEntry(PARTITION, events)])), JournalRow)
-    recovered = WorkBook()
+    recovered = WorkRegistry()
     for event in row.unwrap().entries[0].events:
         recovered.replay(event, 2, 0.0)
-    assert recoverable_state(recovered) == recoverable_state(bench.partition.book)
+    assert recoverable_state(recovered) == recoverable_state(
+        harness.partition.work_registry
+    )
 
 
 def test_new_owner_finishes_a_cancellation_and_reports_why_work_failed() -> None:
@@ -132,10 +136,14 @@
                 request = evolve(make_sleep_submission(number, 0.1, False), key=key)
                 (await entry.router.run_request(request)).unwrap()
             await asyncio.sleep(60.0)
-            book = cluster.nodes[owner].ownership.drivers["general.0"].partition.book
-            assert list(book.works) == ["general.0.7"]
+            work_registry = (
+                cluster.nodes[owner]
+                .ownership.drivers["general.0"]
+                .partition.work_registry
+            )
+            assert list(work_registry.works) == ["general.0.7"]
             await asyncio.sleep(600.0)
-            assert list(book.works) == []
+            assert list(work_registry.works) == []
 
     run_virtually(session())
 
