--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -23,13 +23,13 @@
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
-    ABSENT,
+    ABSENT_VERSION,
     Condition,
     TableFailure,
     TableService,
     Transaction,
     Write,
-    transact_surely,
+    transact_with_readback,
 )
 
 GRANT_PERIOD_S = 0.1
@@ -262,11 +262,12 @@
                 writes=(Write(team_grants_key(name), encode(changed.ok_value)),),
                 conditions=(
                     Condition(
-                        team_grants_key(name), stored.version if stored else ABSENT
+                        team_grants_key(name),
+                        stored.version if stored else ABSENT_VERSION,
                     ),
                 ),
             )
-            outcome = await transact_surely(self._table, transaction)
+            outcome = await transact_with_readback(self._table, transaction)
             if isinstance(outcome, Err):
                 self._counters.add(f"grants.{outcome.err_value.value}")
                 return
