--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -75,9 +75,9 @@
         self.authority = authority
         self.ledger = Ledger()
         self.work_registry = WorkRegistry()
-        self.blame = FailureTracker()
+        self.failure_tracker = FailureTracker()
         self.scheduler = Scheduler(self.ledger, clock, epoch, weights or OrderWeights())
-        self._quarantine = QuarantineManager(self.ledger, self.blame, clock)
+        self._quarantine = QuarantineManager(self.ledger, self.failure_tracker, clock)
         self._clock = clock
         self._pending_tasks = PendingTasks(self.scheduler, authority, clock)
         self._retry_budgets = RetryBudgets()
@@ -355,7 +355,7 @@
 
     def _fail_task(self, task: Task, answer: bytes, end: AttemptEnd) -> None:
         kind = ErrorKind.TASK_FAILED
-        if self.blame.is_poison(task.submission.work_id):
+        if self.failure_tracker.is_poison(task.submission.work_id):
             kind = ErrorKind.POISON
         message = answer.decode("utf-8", "replace") or "the task failed"
         task.work.refusal = Refusal(kind, message)
@@ -368,7 +368,7 @@
         if end is AttemptEnd.FAILED:
             task.failures += 1
             task.failed_worker_names.add(task.attempt.worker if task.attempt else "")
-            is_poison = self.blame.is_poison(task.submission.work_id)
+            is_poison = self.failure_tracker.is_poison(task.submission.work_id)
             if is_poison or task.failures >= MAX_FAILURES_PER_TASK:
                 self._fail_task(task, answer, end)
                 return
@@ -398,7 +398,7 @@
         self._record_end(task, state, end)
         self.work_registry.finish_task(task, state, self._clock.now())
         if task.work.is_final:
-            self.blame.forget_work(task.submission.work_id)
+            self.failure_tracker.forget_work(task.submission.work_id)
             self._actions.finished.append(task.work)
 
     def _record_end(self, task: Task, state: TaskState, end: AttemptEnd) -> None:
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -67,7 +67,7 @@
         self._created_at_s = clock.now()
 
     def recover_tasks(self) -> None:
-        """Charge the attempts recovered from the journal, and queue the other tasks.
+        """Allocate resources to recovered attempts, and queue the other tasks.
 
         The queued tasks are held until every attempt of a former owner that may still
         run has been reported or has ended. Requests are not queued before their callers
@@ -224,7 +224,7 @@
         self._partition.mark_started(orphan.attempt_id)
 
     def _adopt_running(self, name: str, running: RunningAttempt) -> None:
-        """Charge a running attempt, and relate it to its task.
+        """Allocate resources to a running attempt, and relate it to its task.
 
         It becomes the attempt of a pending task. If its task has ended or has another
         attempt, it is stopped. If its work is unknown, it is kept as an orphan.
@@ -323,7 +323,7 @@
     def _end_unreported(
         self, name: str, reported_ids: set[str], sent_s: float, report: WorkerReport
     ) -> None:
-        """End attempts that are charged to a worker and that it does not report.
+        """End attempts that have resources allocated on a worker but are not reported.
 
         Parameters
         ----------
@@ -422,7 +422,7 @@
             ledger.change_state(name, "adopt")
 
     def _remove_worker(self, name: str) -> None:
-        """Mark a worker as gone, and remove it if no attempt is charged to it."""
+        """Mark a worker as gone, and remove it if it has no attempts."""
         ledger = self._partition.ledger
         ledger.change_state(name, "vanish")
         if not ledger.workers[name].attempts:
--- a/src/fuchsiadale/decision/reports.py
+++ b/src/fuchsiadale/decision/reports.py
@@ -17,9 +17,9 @@
     attempt_id : str
         Id of the attempt.
     team : str
-        Name of the team that the attempt is charged to.
+        Name of the team that the attempt belongs to.
     resources : Resources
-        The resources that are charged for the attempt.
+        The resources that are allocated to the attempt.
     """
 
     attempt_id: str
--- a/src/fuchsiadale/decision/views.py
+++ b/src/fuchsiadale/decision/views.py
@@ -85,9 +85,9 @@
     failure_domain : str
         The failure domain of the worker.
     capacity, free : Resources
-        The resources of the worker, and those of them that are not charged.
+        The resources of the worker, and those of them that are not allocated.
     attempts : list of str
-        Ids of the attempts that are charged to the worker.
+        Ids of the attempts that have resources allocated on the worker.
     """
 
     name: str
@@ -107,7 +107,7 @@
     team : str
         Name of the team.
     used : Resources
-        Resources that are charged to the team in this partition.
+        Resources that are allocated to the team in this partition.
     grant : Resources or None
         Resources that the team may use in this partition; None if it has no limit.
     """
