--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -13,10 +13,7 @@
     RETRY_BACKOFF_MAX_S,
 )
 from fuchsiadale.decision.errors import ErrorKind, Refusal
-from fuchsiadale.decision.events import (
-    AcceptedEvent,
-    CancelledEvent,
-)
+from fuchsiadale.decision.events import AcceptedEvent, CancelledEvent
 from fuchsiadale.decision.failure_tracker import FailureTracker
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import Ledger
--- a/src/fuchsiadale/decision/reconciliation.py
+++ b/src/fuchsiadale/decision/reconciliation.py
@@ -16,11 +16,7 @@
 )
 from fuchsiadale.decision.ledger import WorkerInfo, WorkerState
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reports import (
-    EndedAttempt,
-    RunningAttempt,
-    WorkerReport,
-)
+from fuchsiadale.decision.reports import EndedAttempt, RunningAttempt, WorkerReport
 from fuchsiadale.decision.resources import NO_RESOURCES
 from fuchsiadale.decision.work import (
     Attempt,
@@ -63,7 +59,7 @@
         self._last_contact_s: dict[str, float] = {}
         self._orphans: dict[str, Attempt] = {}
         self._orphan_ends: dict[str, _OrphanEnd] = {}
-        self._attempts_on_missing_workers: list[str] = []
+        self._attempts_without_worker: list[str] = []
         self._created_at_s = clock.now()
 
     def recover_tasks(self) -> None:
@@ -85,7 +81,7 @@
                 elif attempt.worker in partition.ledger.workers:
                     partition.scheduler.allocate_running(attempt)
                 else:
-                    self._attempts_on_missing_workers.append(attempt.attempt_id)
+                    self._attempts_without_worker.append(attempt.attempt_id)
             if work.cancelled:
                 partition.resume_cancellation(work)
 
@@ -161,23 +157,18 @@
         created.
         """
         now_s = self._clock.now()
-        if (
-            self._attempts_on_missing_workers
-            and now_s - self._created_at_s > RERUN_WAIT_S
-        ):
-            for attempt_id in self._attempts_on_missing_workers:
+        if self._attempts_without_worker and now_s - self._created_at_s > RERUN_WAIT_S:
+            for attempt_id in self._attempts_without_worker:
                 self._partition.mark_ended(
                     attempt_id, AttemptEnd.LOST, reason="worker_gone"
                 )
-            self._attempts_on_missing_workers.clear()
+            self._attempts_without_worker.clear()
         for name, worker in self._partition.ledger.workers.items():
             silent_s = now_s - self._last_contact_s.get(name, self._created_at_s)
             if silent_s > SESSION_TIMEOUT_S:
                 self._partition.ledger.change_state(name, "fall_silent")
             if silent_s > RERUN_WAIT_S:
-                self._end_attempts_of_silent_worker(
-                    name, list(worker.attempts.values())
-                )
+                self._end_all_attempts(name, list(worker.attempts.values()))
 
     def discard_expired_ends(self) -> None:
         """Discard the ends of orphans whose work was not resubmitted in time.
@@ -371,9 +362,7 @@
         if self._orphans.pop(attempt.attempt_id, None) is not None:
             self._partition.scheduler.release(attempt)
 
-    def _end_attempts_of_silent_worker(
-        self, name: str, attempts: list[Attempt]
-    ) -> None:
+    def _end_all_attempts(self, name: str, attempts: list[Attempt]) -> None:
         """End attempts that a silent worker has certainly ended.
 
         Those that were not sent count as not run, the others as lost.
