--- a/src/fuchsiadale/decision/partition.py
+++ b/src/fuchsiadale/decision/partition.py
@@ -7,25 +7,22 @@
 from fuchsiadale.decision.actions import Acknowledgement, Actions, StopOrder
 from fuchsiadale.decision.admission import check_admission
 from fuchsiadale.decision.authority import Authority
-from fuchsiadale.decision.blame import Blame
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.constants import (
+    MAX_FAILURES_PER_TASK,
     RETRY_BACKOFF_MAX_S,
-    RETRY_BUDGET_PER_TASK,
 )
 from fuchsiadale.decision.errors import ErrorKind, Refusal
-from fuchsiadale.decision.events import (
-    Accepted,
-    Cancelled,
-)
+from fuchsiadale.decision.events import AcceptedEvent, CancelledEvent
+from fuchsiadale.decision.failure_tracker import FailureTracker
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import Ledger
 from fuchsiadale.decision.pending_tasks import PendingTasks
-from fuchsiadale.decision.quarantine import Quarantine
+from fuchsiadale.decision.quarantine import QuarantineManager
 from fuchsiadale.decision.retry import (
     RETRY_TABLE,
-    NextStep,
     RetryBudgets,
+    RetryDecision,
     backoff_s,
 )
 from fuchsiadale.decision.scheduler import Scheduler
@@ -75,9 +72,9 @@
         self.authority = authority
         self.ledger = Ledger()
         self.work_registry = WorkRegistry()
-        self.blame = Blame()
+        self.failure_tracker = FailureTracker()
         self.scheduler = Scheduler(self.ledger, clock, epoch, weights or OrderWeights())
-        self._quarantine = Quarantine(self.ledger, self.blame, clock)
+        self._quarantine = QuarantineManager(self.ledger, self.failure_tracker, clock)
         self._clock = clock
         self._pending_tasks = PendingTasks(self.scheduler, authority, clock)
         self._retry_budgets = RetryBudgets()
@@ -105,7 +102,7 @@
             return Err(refusal)
         work = self.work_registry.add(submission, self._clock.now())
         if submission.is_journalled:
-            self._actions.events.append(Accepted(submission))
+            self._actions.events.append(AcceptedEvent(submission))
         self._retry_budgets.deposit(submission.queue, submission.tasks)
         for task in work.tasks:
             self.enqueue(task, may_be_running=submission.resubmitted)
@@ -134,7 +131,9 @@
         work.cancelled = True
         work.refusal = refusal
         if work.submission.is_journalled:
-            self._actions.events.append(Cancelled(work.submission.work_id, refusal))
+            self._actions.events.append(
+                CancelledEvent(work.submission.work_id, refusal)
+            )
         self.resume_cancellation(work)
 
     def resume_cancellation(self, work: Work) -> None:
@@ -226,7 +225,7 @@
         self.scheduler.release(attempt)
         if end is not AttemptEnd.NOT_RUN:
             task.may_have_run = True
-        quarantined_count = self._quarantine.note_end(
+        quarantined_count = self._quarantine.record_end(
             task.submission.work_id, attempt, end
         )
         if quarantined_count:
@@ -234,14 +233,14 @@
         next_step = RETRY_TABLE[(end, task.submission.idempotent)]
         if task.work.cancelled and end is not AttemptEnd.SUCCEEDED:
             self._finish_cancelled_task(task, end)
-        elif next_step is NextStep.FINISH:
+        elif next_step is RetryDecision.FINISH:
             task.answer = TaskAnswer(attempt_id, attempt.worker, answer)
             self._finish_task(task, TaskState.SUCCEEDED, end)
-        elif next_step is NextStep.TELL_UNKNOWN:
+        elif next_step is RetryDecision.FAIL_AS_UNKNOWN:
             message = "the task may have been started; its outcome cannot be determined"
             task.work.refusal = Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
             self._finish_task(task, TaskState.UNKNOWN, end)
-        elif next_step is NextStep.FAIL:
+        elif next_step is RetryDecision.FAIL:
             self._fail_task(task, answer, end)
         else:
             self._retry_or_fail_task(task, answer, end, reason)
@@ -288,7 +287,7 @@
     def step(self) -> Actions:
         """Place the tasks that fit, and return the actions since the last call."""
         self._pending_tasks.release_ready()
-        self._quarantine.probe()
+        self._quarantine.release_due_workers()
         if self.authority.may_act() and not self._is_paused:
             for placement in self.scheduler.schedule():
                 task = placement.task
@@ -353,7 +352,7 @@
 
     def _fail_task(self, task: Task, answer: bytes, end: AttemptEnd) -> None:
         kind = ErrorKind.TASK_FAILED
-        if self.blame.is_poison(task.submission.work_id):
+        if self.failure_tracker.is_poison(task.submission.work_id):
             kind = ErrorKind.POISON
         message = answer.decode("utf-8", "replace") or "the task failed"
         task.work.refusal = Refusal(kind, message)
@@ -366,8 +365,8 @@
         if end is AttemptEnd.FAILED:
             task.failures += 1
             task.failed_worker_names.add(task.attempt.worker if task.attempt else "")
-            is_poison = self.blame.is_poison(task.submission.work_id)
-            if is_poison or task.failures >= RETRY_BUDGET_PER_TASK:
+            is_poison = self.failure_tracker.is_poison(task.submission.work_id)
+            if is_poison or task.failures >= MAX_FAILURES_PER_TASK:
                 self._fail_task(task, answer, end)
                 return
         self._actions.counts[f"retried.{reason or end.value}"] += 1
@@ -396,7 +395,7 @@
         self._record_end(task, state, end)
         self.work_registry.finish_task(task, state, self._clock.now())
         if task.work.is_final:
-            self.blame.forget_work(task.submission.work_id)
+            self.failure_tracker.forget_work(task.submission.work_id)
             self._actions.finished.append(task.work)
 
     def _record_end(self, task: Task, state: TaskState, end: AttemptEnd) -> None:
--- a/src/fuchsiadale/decision/pending_tasks.py
+++ b/src/fuchsiadale/decision/pending_tasks.py
@@ -45,7 +45,7 @@
             Whether a former owner may have started it, so that it has to wait until
             the authority allows such tasks to be run again.
         """
-        if may_be_running and not self._authority.may_rerun():
+        if may_be_running and not self._authority.may_rerun_unreported():
             self._possibly_running.append(task)
         elif task.eligible_at_s > self._clock.now():
             self._delayed.push(task)
@@ -61,7 +61,7 @@
 
     def release_ready(self) -> None:
         """Hand the tasks that may be placed now to the scheduler."""
-        if self._possibly_running and self._authority.may_rerun():
+        if self._possibly_running and self._authority.may_rerun_unreported():
             for task in self._possibly_running:
                 self._scheduler.add(task)
             self._possibly_running.clear()
