--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -9,7 +9,7 @@
 
 from eliot import log_message
 
-from fuchsiadale.decision.workflow.messages import AskAdvice
+from fuchsiadale.decision.workflow.messages import RequestAdvice
 from fuchsiadale.ports.task_workers import Advice, Advisor
 
 ANSWER_FACTOR = 2.0
@@ -45,14 +45,14 @@
         """Use these peers' lanes beside this process's own."""
         self._advisors = {"": self._advisors[""], **advisors}
 
-    async def ask(self, order: AskAdvice) -> Advice | None:
+    async def ask(self, order: RequestAdvice) -> Advice | None:
         """Return the advice, or None if none came."""
         lane = self._idle_lane()
         if lane is None:
             return None
         self._busy.add(lane)
         try:
-            timeout_s = ANSWER_FACTOR * order.cost_s + ANSWER_MARGIN_S
+            timeout_s = ANSWER_FACTOR * order.expected_duration_s + ANSWER_MARGIN_S
             advice = await self._advisors[lane].ask(
                 order.step, order.worker_ids, timeout_s
             )
--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -21,9 +21,9 @@
     worker_write,
 )
 from fuchsiadale.codec import encode
-from fuchsiadale.decision.workflow.jobs import Job, progress_of
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.jobs import Job, collect_progress
 from fuchsiadale.decision.workflow.scheduler import Scheduler
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 from fuchsiadale.ports.rows import RowCondition, RowStore, RowWrite, StoreFailure
 
 RENEW_S = 0.45
@@ -143,18 +143,18 @@
 
     def _has_changes(self) -> bool:
         scheduler = self._scheduler
-        return bool(scheduler.unrecorded) or any(
-            worker.needs_record for worker in scheduler.workers.values()
+        return bool(scheduler.unrecorded_jobs) or any(
+            worker.is_record_awaited for worker in scheduler.workers.values()
         )
 
-    def _workers_to_record(self) -> list[WorkerLedger]:
+    def _workers_to_record(self) -> list[TrackedWorker]:
         """Return the workers to write: first those that something waits for."""
         stale = [
             worker
             for worker in self._scheduler.workers.values()
             if worker.is_record_stale
         ]
-        stale.sort(key=lambda worker: not worker.needs_record)
+        stale.sort(key=lambda worker: not worker.is_record_awaited)
         return stale[:MAX_WORKERS_PER_COMMIT]
 
     def _expired(self, entries: int) -> list[Job]:
@@ -168,19 +168,19 @@
     async def _commit(self) -> bool:
         """Write one transaction; tell whether this process still owns the cell."""
         scheduler = self._scheduler
-        chosen = list(scheduler.unrecorded)[:MAX_JOBS_PER_COMMIT]
-        is_complete = len(chosen) == len(scheduler.unrecorded)
-        scheduler.unrecorded.difference_update(chosen)
+        chosen = list(scheduler.unrecorded_jobs)[:MAX_JOBS_PER_COMMIT]
+        is_complete = len(chosen) == len(scheduler.unrecorded_jobs)
+        scheduler.unrecorded_jobs.difference_update(chosen)
         jobs = [scheduler.jobs[job_id] for job_id in chosen]
         states = {job.record.job_id: job.state for job in jobs}
         workers = self._workers_to_record()
         ends = {
-            worker_id: ProcessedEnd(worker.started_ms, worker.processed_end)
+            worker_id: ProcessedEnd(worker.started_ms, worker.last_processed_end)
             for worker_id, worker in scheduler.workers.items()
         }
         writes = [RowWrite(CONTROL_TABLE, OWNER_KEY, encode(self._owner))]
         writes += [
-            RowWrite(PROGRESS_TABLE, job.record.job_id, encode(progress_of(job)))
+            RowWrite(PROGRESS_TABLE, job.record.job_id, encode(collect_progress(job)))
             for job in jobs
         ]
         writes += [worker_write(worker) for worker in workers]
@@ -209,7 +209,7 @@
                 scheduler.expired_jobs.pop(job.record.job_id, None)
             self._on_recorded(ends if is_complete else {})
             return True
-        scheduler.unrecorded.update(chosen)
+        scheduler.unrecorded_jobs.update(chosen)
         return await self._after_failure(outcome.err_value)
 
     async def _after_failure(self, failure: StoreFailure) -> bool:
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -280,7 +280,7 @@
         job = self._owner.find_job(job_id) if self._owner is not None else None
         if job is None:
             return None
-        return JobView(job.shown_state, job.record.workspace)
+        return JobView(job.reported_state, job.record.workspace)
 
     def _take_hint(self, key: str, value: bytes) -> bool:
         if self._owner is None:
--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -211,7 +211,7 @@
             if age_s > self._key_trust_s:
                 return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
             return _refuse(ErrorKind.NOT_FOUND, "no such queue")
-        workspace = configuration.workspace_of_key(call.key)
+        workspace = configuration.find_workspace_by_key(call.key)
         if not queue.is_public:
             if age_s > self._key_trust_s:
                 return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -28,9 +28,9 @@
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
 from fuchsiadale.decision.workflow.jobs import Job
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
     Order,
     PaceRun,
+    RequestAdvice,
     StartOutcome,
     StartRun,
     StopRun,
@@ -163,7 +163,7 @@
         self._observe(tuple(row.entry for row in stored.workers))
         if has_predecessor:
             self._restore_runs(stored.workers)
-        self._carry_out(self._scheduler.take_orders())
+        self._carry_out(self._scheduler.pop_orders())
         for name, child in (
             ("committer", self._committer.run),
             ("jobs", JobWatch(self._ports.store, stored.version, self.take_row).run),
@@ -218,7 +218,7 @@
         """Take a stored row of the job table in, also ahead of the watch."""
         if is_cancel_key(key):
             self._scheduler.cancel(key.removesuffix(CANCEL_SUFFIX))
-            self._carry_out(self._scheduler.take_orders())
+            self._carry_out(self._scheduler.pop_orders())
             self._committer.wake()
         else:
             record = decode(value, JobRecord)
@@ -246,11 +246,11 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            self._scheduler.open_due_steps(unix_time_s())
+            self._scheduler.activate_due_steps(unix_time_s())
             self._pending = self._scheduler.count_pending()
             self._expire_jobs()
             self._carry_out(self._scheduler.check_time())
-            if self._scheduler.unrecorded:
+            if self._scheduler.unrecorded_jobs:
                 self._committer.wake()
             for worker_id, link in self._links.items():
                 link.is_busy = bool(self._scheduler.workers[worker_id].runs)
@@ -305,7 +305,7 @@
         self._carry_out(orders)
         if known is not None:
             self._links[worker_id].is_busy = bool(known.runs)
-        if self._scheduler.unrecorded:
+        if self._scheduler.unrecorded_jobs:
             self._committer.wake()
         self._plan_due.set()
 
@@ -341,7 +341,7 @@
                 self._committer.wake()
             elif isinstance(order, StopRun):
                 self._call(self._stop_run(order))
-            elif isinstance(order, AskAdvice):
+            elif isinstance(order, RequestAdvice):
                 self._call(self._ask(order))
             else:
                 self._call(self._pace(order))
@@ -350,13 +350,13 @@
         """Send the starts that are recorded; drop those no longer wanted."""
         unsent, self._unsent = self._unsent, []
         for order in unsent:
-            if not self._scheduler.is_wanted(order):
+            if not self._scheduler.is_start_needed(order):
                 continue
-            if not self._scheduler.may_send(order):
+            if not self._scheduler.is_start_recorded(order):
                 self._unsent.append(order)
-            elif self._scheduler.has_expired(order):
+            elif self._scheduler.has_ticket_expired(order):
                 refused = StartOutcome.TICKET_REFUSED
-                self._carry_out(self._scheduler.note_start(order, refused))
+                self._carry_out(self._scheduler.note_start_outcome(order, refused))
             else:
                 self._call(self._start_run(order))
 
@@ -380,7 +380,7 @@
         elapsed_s = asyncio.get_running_loop().time() - started_s
         self._metrics.starts.labels(outcome.value).inc()
         self._metrics.start_seconds.observe(elapsed_s)
-        self._carry_out(self._scheduler.note_start(order, outcome))
+        self._carry_out(self._scheduler.note_start_outcome(order, outcome))
         self._plan_due.set()
 
     async def _stop_run(self, order: StopRun) -> None:
@@ -389,9 +389,9 @@
             if link is None:
                 return
             if await link.stop(order):
-                self._scheduler.note_stopped(order)
+                self._scheduler.note_stop_acknowledged(order)
                 return
-            if not self._scheduler.expects(order):
+            if not self._scheduler.may_still_run(order):
                 return
             await asyncio.sleep(STOP_RETRY_S)
 
@@ -400,7 +400,7 @@
         if link is not None:
             await link.pace(order)
 
-    async def _ask(self, order: AskAdvice) -> None:
+    async def _ask(self, order: RequestAdvice) -> None:
         advice = None
         try:
             advice = await self._ports.advice.ask(order)
@@ -411,7 +411,7 @@
             self._plan_due.set()
 
     def _log_decisions(self) -> None:
-        decisions, dropped = self._scheduler.decisions.take()
+        decisions, dropped = self._scheduler.decisions.pop_all()
         for decision in decisions:
             self._metrics.decisions.labels(decision.kind).inc()
             log_message(decision.kind, job=decision.job_id, **decision.inputs)
--- a/src/fuchsiadale/cell/rows.py
+++ b/src/fuchsiadale/cell/rows.py
@@ -7,10 +7,10 @@
 
 from fuchsiadale.codec import decode, encode
 from fuchsiadale.decision.workflow.jobs import Job, JobProgress
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
 from fuchsiadale.decision.workflow.messages import WorkerEntry
 from fuchsiadale.decision.workflow.names import TaskName, parse_task_name
 from fuchsiadale.decision.workflow.specification import JobRecord
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 from fuchsiadale.ports.rows import (
     RowCondition,
     RowStore,
@@ -86,7 +86,7 @@
         ]
 
 
-def worker_write(worker: WorkerLedger) -> RowWrite:
+def worker_write(worker: TrackedWorker) -> RowWrite:
     """Return the write that records a worker for a successor."""
     row = WorkerRow(worker.entry, [f"{name}#{number}" for name, number in worker.runs])
     return RowWrite(WORKER_TABLE, worker.entry.worker_id, encode(row))
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -10,7 +10,6 @@
 from result import Err
 
 from fuchsiadale.cell.answer_losses import AnswerLosses
-from fuchsiadale.decision.workflow.ledger import CLOCK_SLOWNESS
 from fuchsiadale.decision.workflow.messages import (
     PaceRun,
     StartOutcome,
@@ -18,6 +17,7 @@
     StopRun,
     WorkerReport,
 )
+from fuchsiadale.decision.workflow.tracked_worker import MAX_CLOCK_DRIFT
 from fuchsiadale.ports.task_workers import (
     CallFailure,
     LookRequest,
@@ -58,7 +58,7 @@
 
 def lapse_after_s(max_lease_s: float) -> float:
     """Return after how many seconds a lease given by an owner has surely ended."""
-    return min(LEASE_S, max_lease_s) / (1.0 - CLOCK_SLOWNESS) + LAPSE_MARGIN_S
+    return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
 
 
 @define
@@ -83,7 +83,7 @@
     def lapse_s(self, lease_end_ms: int) -> float:
         """Return when a lease has surely ended, on the loop's clock."""
         left_s = (lease_end_ms - self.reading_ms) / MS_PER_S
-        return self.received_s + left_s / (1.0 - CLOCK_SLOWNESS) + LAPSE_MARGIN_S
+        return self.received_s + left_s / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
 
 
 class LinkEvents:
@@ -255,7 +255,7 @@
         if lease_end_ms is not None:
             self._events.on_lease(self.worker_id, self._clock.lapse_s(lease_end_ms))
         self._started_ms = report.started_ms
-        self._listed = max((end.number for end in report.ended), default=0)
+        self._listed = max((end.sequence_number for end in report.ended), default=0)
         self._listed = max(self._listed, self._acknowledged)
         self._events.on_report(self.worker_id, report, sent_s)
         if was_new and report.running:
--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -14,14 +14,14 @@
     RunState,
     Step,
 )
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.limits import SubmissionRates, Usage
+from fuchsiadale.decision.workflow.limits import SubmissionRateLimiter, WorkspaceUsage
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
     Order,
+    RequestAdvice,
     StopRun,
 )
 from fuchsiadale.decision.workflow.names import StepName
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 FORECAST_S = 0.2
 """Seconds for which a forecast is used; durations and pools change slowly."""
@@ -43,16 +43,16 @@
         self.epoch = epoch
         self.configuration = CellConfiguration(0)
         self.jobs: dict[str, Job] = {}
-        self.workers: dict[str, WorkerLedger] = {}
-        self.live_steps: dict[StepName, Step] = {}
-        self.usage = Usage()
+        self.workers: dict[str, TrackedWorker] = {}
+        self.active_steps: dict[StepName, Step] = {}
+        self.usage = WorkspaceUsage()
         self.durations = Durations()
-        self.unrecorded: set[str] = set()
+        self.unrecorded_jobs: set[str] = set()
         self.retired_workers: set[str] = set()
         self.expired_jobs: dict[str, Job] = {}
         self.decisions = DecisionLog()
-        self.asking = 0
-        self._rates = SubmissionRates({})
+        self.pending_advice_requests = 0
+        self._rates = SubmissionRateLimiter({})
         self._orders: list[Order] = []
         self._forecast: Forecast | None = None
         self._foretold_s = 0.0
@@ -81,19 +81,19 @@
         return self._forecast
 
     def _make_forecast(self) -> Forecast:
-        workers: dict[str, list[WorkerLedger]] = {}
+        workers: dict[str, list[TrackedWorker]] = {}
         for worker in self.workers.values():
             if worker.is_listed:
                 workers.setdefault(worker.entry.pool, []).append(worker)
         return Forecast(self.durations, workers, self.limit_of)
 
-    def order(self, order: Order) -> None:
+    def issue_order(self, order: Order) -> None:
         """Give an order."""
-        if isinstance(order, AskAdvice):
-            self.asking += 1
+        if isinstance(order, RequestAdvice):
+            self.pending_advice_requests += 1
         self._orders.append(order)
 
-    def take_orders(self) -> list[Order]:
+    def pop_orders(self) -> list[Order]:
         """Return the orders given since the last call."""
         orders = self._orders
         self._orders = []
@@ -101,14 +101,14 @@
 
     def preempt(self, run: Run) -> None:
         """Stop a run to make room for more urgent work."""
-        self._stop(run, "preempted")
+        self._stop_run(run, "preempted")
 
-    def _stop(self, run: Run, reason: str) -> None:
+    def _stop_run(self, run: Run, reason: str) -> None:
         if run.state in (RunState.STOPPING, RunState.UNCONFIRMED):
             return
         run.state = RunState.STOPPING
         self._orders.append(StopRun(run.worker_id, run.task.name, run.number, reason))
-        self._decide(
+        self._record_decision(
             "run_stopped",
             run.task.step.job.record.job_id,
             task=str(run.task.name),
@@ -117,5 +117,5 @@
             reason=reason,
         )
 
-    def _decide(self, kind: str, job_id: str, **inputs: object) -> None:
+    def _record_decision(self, kind: str, job_id: str, **inputs: object) -> None:
         self.decisions.add(Decision(kind, job_id, inputs))
--- a/src/fuchsiadale/decision/workflow/configuration.py
+++ b/src/fuchsiadale/decision/workflow/configuration.py
@@ -8,7 +8,7 @@
 
 
 @frozen
-class AdviceTerms:
+class AdviceTiming:
     """What asking which workers may run a step costs.
 
     Attributes
@@ -25,7 +25,7 @@
     per_worker_s: float
     valid_s: float
 
-    def cost_s(self, workers: int) -> float:
+    def call_duration_s(self, workers: int) -> float:
         """Return the time that a call naming `workers` takes, in seconds."""
         return self.base_s + workers * self.per_worker_s
 
@@ -54,7 +54,7 @@
         Seconds added to the objective.
     is_public : bool
         Whether calls need no key.
-    advice : AdviceTerms or None
+    advice : AdviceTiming or None
         Set if only some workers may run a step, and tickets say which.
     """
 
@@ -67,7 +67,7 @@
     stretch: float = 1.0
     slack_s: float = 0.0
     is_public: bool = False
-    advice: AdviceTerms | None = None
+    advice: AdviceTiming | None = None
 
 
 @frozen
@@ -121,7 +121,7 @@
         """Return a workspace by its name."""
         return self._by_workspace.get(name)
 
-    def workspace_of_key(self, key: str) -> Workspace | None:
+    def find_workspace_by_key(self, key: str) -> Workspace | None:
         """Return the workspace that a key belongs to."""
         return self._by_key.get(key)
 
--- a/src/fuchsiadale/decision/workflow/decisions.py
+++ b/src/fuchsiadale/decision/workflow/decisions.py
@@ -33,7 +33,7 @@
             return
         self._decisions.append(decision)
 
-    def take(self) -> tuple[list[Decision], int]:
+    def pop_all(self) -> tuple[list[Decision], int]:
         """Return the decisions since the last call, and how many were dropped."""
         decisions = list(self._decisions)
         dropped = self._dropped
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -16,8 +16,8 @@
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.durations import Durations
 from fuchsiadale.decision.workflow.jobs import Job, Step
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
 from fuchsiadale.decision.workflow.placement import places
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 WAVE_SHARE = 0.25
 """Share of a pool that a step may take before it counts in waves, by contract."""
@@ -40,7 +40,7 @@
     ----------
     durations : Durations
         What was learnt of tasks' durations.
-    workers : dict of str to list of WorkerLedger
+    workers : dict of str to list of TrackedWorker
         The workers of each pool.
     limit_of : callable
         Returns the limit of a workspace.
@@ -49,7 +49,7 @@
     def __init__(
         self,
         durations: Durations,
-        workers: dict[str, list[WorkerLedger]],
+        workers: dict[str, list[TrackedWorker]],
         limit_of: Callable[[str], Resources],
     ) -> None:
         self._durations = durations
@@ -61,8 +61,8 @@
 
     def step_s(self, step: Step) -> float:
         """Return how long a task of a step takes, in seconds."""
-        if step.ended_runs:
-            return step.ended_runs_s / step.ended_runs
+        if step.measured_runs:
+            return step.measured_runs_total_s / step.measured_runs
         known_s = self._step_s.get(step)
         if known_s is None:
             queue = step.job.record.queue
@@ -88,7 +88,7 @@
         known = self._outlooks.get(key)
         if known is None or known.done_tasks != job.done_tasks:
             whole_s = self._longest_chain_s(job, occurrence, queue, is_whole=True)
-            begin_s = job.occurrence_begins_s(occurrence)
+            begin_s = job.occurrence_start_s(occurrence)
             known = _Outlook(
                 job.done_tasks,
                 begin_s + queue.stretch * whole_s + queue.slack_s,
--- a/src/fuchsiadale/decision/workflow/job_book.py
+++ b/src/fuchsiadale/decision/workflow/job_tracker.py
@@ -13,7 +13,7 @@
 from fuchsiadale.decision.workflow.specification import JobRecord
 
 
-class JobBook(CellState):
+class JobTracker(CellState):
     """Keeps the jobs of a cell."""
 
     def accept(self, record: JobRecord, now_unix_s: float) -> None:
@@ -21,20 +21,20 @@
         if record.job_id in self.jobs:
             return
         job = make_job(record)
-        self._admit(job, now_unix_s)
-        self._open_steps(job, now_unix_s)
+        self._add_job(job, now_unix_s)
+        self._activate_ready_steps(job, now_unix_s)
         queue = self.queue_of(job)
         specification = record.specification
-        self._decide(
+        self._record_decision(
             "job_accepted",
             record.job_id,
             queue=record.queue,
             workspace=record.workspace,
             priority=queue.priority if queue else None,
             tasks=[step.count for step in specification.steps],
-            chain_s=round(specification.chain_s, 3),
-            due_in_s=round(self._due_in_s(job), 3),
-            is_excess=job.is_excess,
+            chain_s=round(specification.critical_path_s, 3),
+            due_in_s=round(self._time_until_due_s(job), 3),
+            is_excess=job.exceeds_rate,
             is_filler=any(step.is_filler for step in specification.steps),
             target_s=max(step.target_s for step in specification.steps),
         )
@@ -46,11 +46,11 @@
         job = make_job(record)
         if progress is not None:
             restore_progress(job, progress)
-        self._admit(job, now_unix_s)
+        self._add_job(job, now_unix_s)
         if job.state.is_final:
             job.ended_s = self.clock.now()
         else:
-            self._open_steps(job, now_unix_s)
+            self._activate_ready_steps(job, now_unix_s)
 
     def cancel(self, job_id: str) -> None:
         """End a job on its caller's behalf."""
@@ -59,7 +59,7 @@
             return
         job.is_cancelled = True
         if not job.state.is_final:
-            self._finish(job, JobState.CANCELLED)
+            self._finish_job(job, JobState.CANCELLED)
 
     def expire_jobs(self, retention_s: float) -> None:
         """Forget jobs whose final state was recorded some time ago.
@@ -91,13 +91,13 @@
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
-    def open_due_steps(self, now_unix_s: float) -> None:
+    def activate_due_steps(self, now_unix_s: float) -> None:
         """Make the occurrences ready that have become due."""
         for job in self.jobs.values():
             if job.record.specification.schedule and not job.state.is_final:
-                self._open_steps(job, now_unix_s)
+                self._activate_ready_steps(job, now_unix_s)
 
-    def _admit(self, job: Job, now_unix_s: float) -> None:
+    def _add_job(self, job: Job, now_unix_s: float) -> None:
         record = job.record
         now = self.clock.now()
         age_s = now_unix_s - record.accepted_s
@@ -105,32 +105,32 @@
         job.arrived_s = now - age_s
         if workspace is not None:
             weight = workspace.weight
-            job.is_excess = self._rates.is_excess(record.workspace, weight, now)
+            job.exceeds_rate = self._rates.exceeds_rate(record.workspace, weight, now)
         self.jobs[record.job_id] = job
 
-    def _due_in_s(self, job: Job) -> float:
+    def _time_until_due_s(self, job: Job) -> float:
         queue = self.queue_of(job)
         if queue is None:
             return 0.0
         return self.forecast().due_s(job, 0, queue) - self.clock.now()
 
-    def _open_steps(self, job: Job, now_unix_s: float) -> None:
+    def _activate_ready_steps(self, job: Job, now_unix_s: float) -> None:
         schedule = job.record.specification.schedule
         for step in job.steps.values():
-            if step.name in self.live_steps or step.is_done:
+            if step.name in self.active_steps or step.is_done:
                 continue
             if schedule and now_unix_s < schedule.due_s(step.name.occurrence):
                 continue
             if job.predecessors_are_done(step):
-                self.live_steps[step.name] = step
+                self.active_steps[step.name] = step
 
-    def _finish(self, job: Job, state: JobState) -> None:
+    def _finish_job(self, job: Job, state: JobState) -> None:
         job.state = state
         job.ended_s = self.clock.now()
-        self.unrecorded.add(job.record.job_id)
+        self.unrecorded_jobs.add(job.record.job_id)
         for step in job.steps.values():
-            self.live_steps.pop(step.name, None)
+            self.active_steps.pop(step.name, None)
             for task in step.tasks:
                 for run in task.runs:
-                    self._stop(run, state.value)
-        self._decide("job_ended", job.record.job_id, state=state.value)
+                    self._stop_run(run, state.value)
+        self._record_decision("job_ended", job.record.job_id, state=state.value)
--- a/src/fuchsiadale/decision/workflow/jobs.py
+++ b/src/fuchsiadale/decision/workflow/jobs.py
@@ -60,13 +60,13 @@
         When the worker acknowledged the order to stop it, on the loop's clock.
     progress_percent : int
         The last that was reported.
-    progressed_s : float
+    last_progress_s : float
         When the progress or the checkpoint last changed, on the loop's clock.
     pace_percent : int
         The share of its speed that it was last told to work at.
     load : float or None
         The last load that was reported.
-    was_resumed : bool
+    may_have_resumed : bool
         Whether it is not known to have begun at the beginning.
     """
 
@@ -78,14 +78,14 @@
     confirmed_s: float | None = None
     stop_acknowledged_s: float | None = None
     progress_percent: int = 0
-    progressed_s: float = 0.0
+    last_progress_s: float = 0.0
     pace_percent: int = 100
     load: float | None = None
-    was_resumed: bool = False
+    may_have_resumed: bool = False
 
 
 @frozen
-class Failures:
+class FailureCount:
     """How often runs have failed, and the number of the last that did.
 
     An end may be listed again after it was recorded; its number tells.
@@ -94,9 +94,9 @@
     count: int = 0
     last_run: int = 0
 
-    def including(self, run: int) -> Failures:
+    def with_failure(self, run: int) -> FailureCount:
         """Return the count after a run has failed."""
-        return Failures(self.count + 1, run) if run > self.last_run else self
+        return FailureCount(self.count + 1, run) if run > self.last_run else self
 
 
 @define(eq=False)
@@ -107,7 +107,7 @@
     index: int
     name: TaskName
     is_done: bool = False
-    failures: Failures = Failures()
+    failures: FailureCount = FailureCount()
     last_run: int = 0
     checkpoint: str = ""
     runs: list[Run] = Factory(list)
@@ -127,19 +127,19 @@
     ----------
     tickets : dict of str to Ticket
         Leave to run on workers, by worker.
-    advised : dict of str to bool
+    advice_by_worker : dict of str to bool
         What advice said of each worker asked about; it does not change.
-    is_asking : bool
+    is_awaiting_advice : bool
         Whether advice was asked for and has not answered.
-    ask_not_before_s : float
+    next_advice_request_s : float
         Earliest time of the next call for advice, on the loop's clock.
-    waiting : dict of int to Task
+    waiting_tasks : dict of int to Task
         Tasks that need a run and have none.
-    gang_failures : Failures
+    gang_failures : FailureCount
         Runs of the gang that failed.
-    ended_runs : int
+    measured_runs : int
         Whole runs of its tasks that ended as done.
-    ended_runs_s : float
+    measured_runs_total_s : float
         How long these took together, in seconds.
     """
 
@@ -148,21 +148,21 @@
     specification: StepSpecification
     tasks: list[Task] = Factory(list)
     tickets: dict[str, Ticket] = Factory(dict)
-    advised: dict[str, bool] = Factory(dict)
-    is_asking: bool = False
-    ask_not_before_s: float = 0.0
-    waiting: dict[int, Task] = Factory(dict)
-    gang_failures: Failures = Failures()
+    advice_by_worker: dict[str, bool] = Factory(dict)
+    is_awaiting_advice: bool = False
+    next_advice_request_s: float = 0.0
+    waiting_tasks: dict[int, Task] = Factory(dict)
+    gang_failures: FailureCount = FailureCount()
     done_count: int = 0
-    ended_runs: int = 0
-    ended_runs_s: float = 0.0
+    measured_runs: int = 0
+    measured_runs_total_s: float = 0.0
 
     @property
     def is_done(self) -> bool:
         """Whether every task ended as done."""
         return self.done_count == len(self.tasks)
 
-    def has_ticket(self, worker_id: str, until_s: float) -> bool:
+    def has_valid_ticket(self, worker_id: str, until_s: float) -> bool:
         """Tell whether a ticket for a worker is still valid at a time."""
         ticket = self.tickets.get(worker_id)
         return ticket is not None and ticket.expires_s > until_s
@@ -178,7 +178,7 @@
         Its state; only final states are binding.
     done : dict of str to list of int
         Indices of tasks that ended as done, by step.
-    failures : dict of str to Failures
+    failures : dict of str to FailureCount
         Failed runs, by task, or by step for a gang.
     last_runs : dict of str to int
         The highest number of a run that ended, by task.
@@ -188,7 +188,7 @@
 
     state: JobState
     done: dict[str, list[int]] = Factory(dict)
-    failures: dict[str, Failures] = Factory(dict)
+    failures: dict[str, FailureCount] = Factory(dict)
     last_runs: dict[str, int] = Factory(dict)
     checkpoints: dict[str, str] = Factory(dict)
 
@@ -209,7 +209,7 @@
         When it was accepted, on the loop's clock.
     done_tasks : int
         Its tasks that ended as done, over all occurrences.
-    is_excess : bool
+    exceeds_rate : bool
         Whether its workspace sent it beyond its rate.
     is_cancelled : bool
         Whether it was cancelled.
@@ -222,19 +222,19 @@
     recorded_state: JobState = JobState.QUEUED
     arrived_s: float = 0.0
     done_tasks: int = 0
-    is_excess: bool = False
+    exceeds_rate: bool = False
     is_cancelled: bool = False
     ended_s: float | None = None
     steps: dict[tuple[int, int], Step] = field(factory=dict)
 
     @property
-    def shown_state(self) -> JobState:
+    def reported_state(self) -> JobState:
         """The state to tell callers: a final one only after it is recorded."""
         if self.state.is_final and not self.recorded_state.is_final:
             return JobState.RUNNING
         return self.state
 
-    def occurrence_begins_s(self, occurrence: int) -> float:
+    def occurrence_start_s(self, occurrence: int) -> float:
         """Return when an occurrence was due to begin, on the loop's clock."""
         schedule = self.record.specification.schedule
         if schedule is None:
@@ -270,7 +270,7 @@
                 Task(step, number, TaskName(name, number))
                 for number in range(specification.count)
             ]
-            step.waiting = dict(enumerate(step.tasks))
+            step.waiting_tasks = dict(enumerate(step.tasks))
             job.steps[occurrence, index] = step
     return job
 
@@ -283,10 +283,10 @@
     return step.tasks[name.index]
 
 
-def progress_of(job: Job) -> JobProgress:
+def collect_progress(job: Job) -> JobProgress:
     """Return what to record of a job."""
     done: dict[str, list[int]] = {}
-    failures: dict[str, Failures] = {}
+    failures: dict[str, FailureCount] = {}
     last_runs: dict[str, int] = {}
     checkpoints: dict[str, str] = {}
     if not job.state.is_final:
@@ -314,17 +314,17 @@
     job.recorded_state = progress.state
     if progress.state.is_final:
         for step in job.steps.values():
-            step.waiting.clear()
+            step.waiting_tasks.clear()
         return
     for step in job.steps.values():
         name = str(step.name)
         for index in progress.done.get(name, ()):
             step.tasks[index].is_done = True
-            step.waiting.pop(index, None)
+            step.waiting_tasks.pop(index, None)
             step.done_count += 1
-        step.gang_failures = progress.failures.get(name, Failures())
+        step.gang_failures = progress.failures.get(name, FailureCount())
         for task in step.tasks:
             text = str(task.name)
-            task.failures = progress.failures.get(text, Failures())
+            task.failures = progress.failures.get(text, FailureCount())
             task.last_run = progress.last_runs.get(text, 0)
             task.checkpoint = progress.checkpoints.get(text, "")
--- a/src/fuchsiadale/decision/workflow/limits.py
+++ b/src/fuchsiadale/decision/workflow/limits.py
@@ -10,7 +10,7 @@
 """Seconds of its rate that a workspace may submit at once; a burst's rise."""
 
 
-class Usage:
+class WorkspaceUsage:
     """Counts what each workspace may have running, over all pools."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
 
 
 @frozen
-class SubmissionRates:
+class SubmissionRateLimiter:
     """Tells which submissions exceed their workspace's rate.
 
     The rate is a token bucket: `weight` a second, with a burst of `BURST_S`.
@@ -48,7 +48,7 @@
 
     _buckets: dict[str, _Bucket]
 
-    def is_excess(self, workspace: str, weight: float, now_s: float) -> bool:
+    def exceeds_rate(self, workspace: str, weight: float, now_s: float) -> bool:
         """Count a submission and tell whether it exceeds the rate."""
         burst = max(weight * BURST_S, 1.0)
         bucket = self._buckets.get(workspace)
--- a/src/fuchsiadale/decision/workflow/messages.py
+++ b/src/fuchsiadale/decision/workflow/messages.py
@@ -43,15 +43,15 @@
 
 
 @frozen
-class AskAdvice:
+class RequestAdvice:
     """Ask which of some workers may run a step."""
 
     step: StepName
     worker_ids: tuple[str, ...]
-    cost_s: float
+    expected_duration_s: float
 
 
-Order = StartRun | StopRun | PaceRun | AskAdvice
+Order = StartRun | StopRun | PaceRun | RequestAdvice
 
 
 class StartOutcome(Enum):
@@ -126,7 +126,7 @@
 
 
 @frozen
-class RunningRow:
+class ReportedRun:
     """One run that a worker reports as present.
 
     Attributes
@@ -152,7 +152,7 @@
 
 
 @frozen
-class EndedRow:
+class ReportedEnd:
     """One run that a worker reports as ended.
 
     Attributes
@@ -169,7 +169,7 @@
         Its last checkpoint; empty if none.
     """
 
-    number: int
+    sequence_number: int
     task: TaskName
     run: int
     kind: EndKind
@@ -186,16 +186,16 @@
         Start of the life that answered, in Unix milliseconds; 0 if not told.
     clock_ms : int
         The worker's clock, in ms.
-    running : tuple of RunningRow
+    running : tuple of ReportedRun
         Everything present.
-    ended : tuple of EndedRow
+    ended : tuple of ReportedEnd
         Ends that are not yet acknowledged.
     """
 
     started_ms: int
     clock_ms: int
-    running: tuple[RunningRow, ...] = ()
-    ended: tuple[EndedRow, ...] = ()
+    running: tuple[ReportedRun, ...] = ()
+    ended: tuple[ReportedEnd, ...] = ()
 
 
 @frozen
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -72,7 +72,7 @@
     """
     waiting = []
     for step in steps:
-        queue = queue_of(step.job) if step.waiting else None
+        queue = queue_of(step.job) if step.waiting_tasks else None
         if queue is not None:
             due_s = forecast.due_s(step.job, step.name.occurrence, queue)
             hopeless = is_hopeless(step, queue, forecast, now_s)
@@ -87,7 +87,7 @@
 ) -> tuple[bool, int, bool, bool, float, str]:
     job = waiting.step.job
     return (
-        job.is_excess,
+        job.exceeds_rate,
         waiting.queue.priority,
         waiting.is_hopeless,
         job.record.job_id in deferred,
@@ -101,7 +101,7 @@
     demands: dict[tuple[str, int], dict[str, Demand]] = {}
     for item in waiting:
         job, step, queue = item.step.job, item.step, item.queue
-        if item.is_hopeless or job.is_excess or step.specification.is_lasting:
+        if item.is_hopeless or job.exceeds_rate or step.specification.is_lasting:
             continue
         occurrence = step.name.occurrence
         group = demands.setdefault((queue.pool, queue.priority), {})
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -6,7 +6,7 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 FAILED_HERE_PENALTY = 100.0
 """Score added where the task has failed before; above every other term."""
@@ -18,7 +18,7 @@
 """Score added outside the preferred rack; above any difference in fit."""
 
 
-def is_suitable(step: Step, worker: WorkerLedger) -> bool:
+def is_suitable(step: Step, worker: TrackedWorker) -> bool:
     """Tell whether a worker could ever run a task of a step."""
     needed = step.specification
     if needed.required_label and needed.required_label not in worker.entry.labels:
@@ -27,8 +27,8 @@
 
 
 def choose_worker(
-    task: Task, workers: Iterable[WorkerLedger], kept_share: float = 0.0
-) -> WorkerLedger | None:
+    task: Task, workers: Iterable[TrackedWorker], kept_share: float = 0.0
+) -> TrackedWorker | None:
     """Return the worker with room that fits a task best, or None.
 
     Best fit keeps whole workers free for tasks that need one.
@@ -37,13 +37,13 @@
     ----------
     task : Task
         The task.
-    workers : iterable of WorkerLedger
+    workers : iterable of TrackedWorker
         The workers that may run it.
     kept_share : float, default=0.0
         Share of a worker's processors and memory that has to stay free.
     """
     step = task.step
-    best: WorkerLedger | None = None
+    best: TrackedWorker | None = None
     best_score = float("inf")
     for worker in workers:
         if not _has_room(step, worker, worker.free, 0):
@@ -57,8 +57,8 @@
 
 
 def choose_gang(
-    tasks: list[Task], workers: Iterable[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
+    tasks: list[Task], workers: Iterable[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
     """Return workers for all tasks of a gang, or None if they do not fit at once.
 
     Members that are slow over several racks are tried on one rack first.
@@ -74,14 +74,14 @@
 
 
 def _fit_all(
-    tasks: list[Task], workers: list[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
+    tasks: list[Task], workers: list[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
     step = tasks[0].step
     free: dict[str, Resources] = {
         worker.entry.worker_id: worker.free for worker in workers
     }
     placed: dict[str, int] = {}
-    placements: list[tuple[Task, WorkerLedger]] = []
+    placements: list[tuple[Task, TrackedWorker]] = []
     for task in tasks:
         options = [
             worker
@@ -103,18 +103,18 @@
     return placements
 
 
-def _has_room(step: Step, worker: WorkerLedger, free: Resources, placed: int) -> bool:
+def _has_room(step: Step, worker: TrackedWorker, free: Resources, placed: int) -> bool:
     needed = step.specification
     if not needed.charged.fits_in(free):
         return False
     if not needed.max_per_worker:
         return True
     name = step.name
-    present = worker.count_step(name.job_id, name.occurrence, name.step)
+    present = worker.count_step_runs(name.job_id, name.occurrence, name.step)
     return present + placed < needed.max_per_worker
 
 
-def _keeps(step: Step, worker: WorkerLedger, share: float) -> bool:
+def _keeps(step: Step, worker: TrackedWorker, share: float) -> bool:
     if not worker.runs:
         return True
     left = worker.free - step.specification.charged
@@ -125,7 +125,7 @@
     )
 
 
-def _score(task: Task, worker: WorkerLedger) -> float:
+def _score(task: Task, worker: TrackedWorker) -> float:
     needed = task.step.specification
     left = worker.free - needed.charged
     capacity = worker.entry.capacity
@@ -140,7 +140,7 @@
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
         score += CROWDING_PENALTY
-    return score + worker.failure_score + worker.slowness
+    return score + worker.failure_score + worker.slowdown
 
 
 def _serves(task: Task) -> bool:
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -8,8 +8,7 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Run, Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.messages import AskAdvice, Order
+from fuchsiadale.decision.workflow.messages import Order, RequestAdvice
 from fuchsiadale.decision.workflow.ordering import WaitingStep, in_order
 from fuchsiadale.decision.workflow.placement import (
     choose_gang,
@@ -19,6 +18,7 @@
 )
 from fuchsiadale.decision.workflow.preemption import RoomMaker
 from fuchsiadale.decision.workflow.scheduler import Scheduler
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 MAX_ADVISED = 30
 """Workers named in one call for advice: what the objective allows for."""
@@ -62,20 +62,20 @@
 
     now_s: float
     advice_lanes: int
-    usable: dict[str, list[WorkerLedger]]
+    usable: dict[str, list[TrackedWorker]]
     room: RoomMaker
     held: dict[str, int] = Factory(dict)
     holders: dict[str, int] = Factory(dict)
     unplaced: dict[tuple[str, int], int] = Factory(dict)
     front: dict[str, int] = Factory(dict)
 
-    def is_held(self, worker: WorkerLedger, priority: int) -> bool:
+    def is_held(self, worker: TrackedWorker, priority: int) -> bool:
         """Tell whether a worker is kept free for more urgent work."""
         return self.held.get(worker.entry.worker_id, priority) < priority
 
     def takes_front(self, waiting: WaitingStep) -> bool:
         """Tell whether a step is among the first of its pool that wait for room."""
-        if waiting.is_hopeless or waiting.step.job.is_excess:
+        if waiting.is_hopeless or waiting.step.job.exceeds_rate:
             return False
         pool = waiting.queue.pool
         self.front[pool] = self.front.get(pool, 0) + 1
@@ -109,23 +109,23 @@
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
-        usable: dict[str, list[WorkerLedger]] = {}
+        usable: dict[str, list[TrackedWorker]] = {}
         for worker in scheduler.workers.values():
             if worker.is_usable(now_s):
                 usable.setdefault(worker.entry.pool, []).append(worker)
         room = RoomMaker(scheduler.queue_of, now_s)
         current = _Round(now_s, advice_lanes, usable, room)
-        steps = scheduler.live_steps.values()
+        steps = scheduler.active_steps.values()
         forecast = scheduler.forecast()
         for waiting in in_order(steps, scheduler.queue_of, forecast, now_s):
             group = (waiting.queue.pool, waiting.queue.priority)
             if current.unplaced.get(group, 0) >= MAX_UNPLACED:
                 continue
-            left = len(waiting.step.waiting)
+            left = len(waiting.step.waiting_tasks)
             self._plan_step(waiting, current)
-            if len(waiting.step.waiting) == left:
+            if len(waiting.step.waiting_tasks) == left:
                 current.unplaced[group] = current.unplaced.get(group, 0) + 1
-        return scheduler.take_orders()
+        return scheduler.pop_orders()
 
     def _plan_step(self, waiting: WaitingStep, current: _Round) -> None:
         step = waiting.step
@@ -141,32 +141,34 @@
             self._plan_tasks(waiting, workers, current)
 
     def _plan_tasks(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[TrackedWorker], current: _Round
     ) -> None:
         step = waiting.step
         allowed = _with_tickets(waiting, workers, current.now_s)
         kept_share = _kept_share(waiting)
-        for task in list(step.waiting.values()):
+        for task in list(step.waiting_tasks.values()):
             if not self._is_within_limit(step, 1):
                 return
             worker = choose_worker(task, allowed, kept_share)
             if worker is None:
                 break
-            self._scheduler.place(task, worker, self._scheduler.next_run([task]))
-        if not step.waiting:
+            self._scheduler.place_task(
+                task, worker, self._scheduler.next_run_number([task])
+            )
+        if not step.waiting_tasks:
             return
         if allowed and not waiting.is_hopeless:
-            self._make_room(waiting, allowed, len(step.waiting), current)
+            self._make_room(waiting, allowed, len(step.waiting_tasks), current)
         if waiting.queue.advice is not None:
             self._ask(waiting, workers, 1, current)
         if not waiting.is_hopeless and _is_large(step, workers):
             self._hold_room(waiting, workers, 1, current)
 
     def _plan_gang(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[TrackedWorker], current: _Round
     ) -> None:
         step = waiting.step
-        if len(step.waiting) < len(step.tasks):
+        if len(step.waiting_tasks) < len(step.tasks):
             return
         if not self._is_within_limit(step, len(step.tasks)):
             return
@@ -186,7 +188,7 @@
     def _hold_room(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
+        workers: list[TrackedWorker],
         tasks: int,
         current: _Round,
     ) -> None:
@@ -200,18 +202,18 @@
                 current.held.setdefault(worker_id, priority)
 
     def _start_gang(
-        self, step: Step, placements: list[tuple[Task, WorkerLedger]]
+        self, step: Step, placements: list[tuple[Task, TrackedWorker]]
     ) -> None:
-        number = self._scheduler.next_run(step.tasks)
+        number = self._scheduler.next_run_number(step.tasks)
         checkpoint = _gang_checkpoint(step.tasks)
         for task, worker in placements:
             task.checkpoint = checkpoint
-            self._scheduler.place(task, worker, number)
+            self._scheduler.place_task(task, worker, number)
 
     def _make_room(
         self,
         waiting: WaitingStep,
-        allowed: list[WorkerLedger],
+        allowed: list[TrackedWorker],
         tasks: int,
         current: _Round,
     ) -> bool:
@@ -222,7 +224,7 @@
         step = waiting.step
         needed = step.specification.charged
         priority = waiting.queue.priority
-        claims: list[tuple[WorkerLedger, list[Run]]] = []
+        claims: list[tuple[TrackedWorker, list[Run]]] = []
         for _ in range(tasks):
             claim = _cheapest_claim(current.room, allowed, needed, priority)
             if claim is None:
@@ -242,47 +244,58 @@
     def _ask(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
+        workers: list[TrackedWorker],
         tasks: int,
         current: _Round,
     ) -> None:
         """Ask for tickets on workers that have, or can make, room for the step."""
         scheduler = self._scheduler
         step, advice = waiting.step, waiting.queue.advice
-        if advice is None or step.is_asking or current.now_s < step.ask_not_before_s:
+        if (
+            advice is None
+            or step.is_awaiting_advice
+            or current.now_s < step.next_advice_request_s
+        ):
             return
         needed = step.specification.charged
         priority = None if waiting.is_hopeless else waiting.queue.priority
         is_front = current.takes_front(waiting)
-        is_front = is_front and scheduler.asking < RENEWAL_SHARE * current.advice_lanes
+        is_front = (
+            is_front
+            and scheduler.pending_advice_requests < RENEWAL_SHARE * current.advice_lanes
+        )
         renewed_s = current.now_s + advice.base_s + RENEWAL_MARGIN_S
         with_room = 0
         named: list[tuple[int, str]] = []
         for worker in workers:
             worker_id = worker.entry.worker_id
-            if step.advised.get(worker_id) is False:
+            if step.advice_by_worker.get(worker_id) is False:
                 continue
             free = current.room.reachable(worker, priority, advice.base_s)
             room = places(free, needed)
-            if step.has_ticket(worker_id, current.now_s):
+            if step.has_valid_ticket(worker_id, current.now_s):
                 with_room += room if tasks > 1 else 0
-                if is_front and not step.has_ticket(worker_id, renewed_s):
+                if is_front and not step.has_valid_ticket(worker_id, renewed_s):
                     named.append((-room, worker_id))
                 continue
             with_room += room
-            is_granted = step.advised.get(worker_id, False)
-            if room or worker_id not in step.advised or (is_front and is_granted):
+            is_granted = step.advice_by_worker.get(worker_id, False)
+            if (
+                room
+                or worker_id not in step.advice_by_worker
+                or (is_front and is_granted)
+            ):
                 named.append((-room, worker_id))
         if (with_room < tasks and not is_front) or not named:
             return
         named.sort()
         chosen = tuple(worker_id for _, worker_id in named[:MAX_ADVISED])
-        cost_s = advice.cost_s(len(chosen))
+        cost_s = advice.call_duration_s(len(chosen))
         kept = CHEAP_LANES if cost_s >= DEAR_ADVICE_S else 0
-        if scheduler.asking >= max(1, current.advice_lanes - kept):
+        if scheduler.pending_advice_requests >= max(1, current.advice_lanes - kept):
             return
-        step.is_asking = True
-        scheduler.order(AskAdvice(step.name, chosen, cost_s))
+        step.is_awaiting_advice = True
+        scheduler.issue_order(RequestAdvice(step.name, chosen, cost_s))
 
     def _is_within_limit(self, step: Step, tasks: int) -> bool:
         workspace = step.job.record.workspace
@@ -292,15 +305,15 @@
 
 
 def _with_tickets(
-    waiting: WaitingStep, workers: list[WorkerLedger], now_s: float
-) -> list[WorkerLedger]:
+    waiting: WaitingStep, workers: list[TrackedWorker], now_s: float
+) -> list[TrackedWorker]:
     """Return the workers that may run a step now."""
     if waiting.queue.advice is None:
         return workers
     return [
         worker
         for worker in workers
-        if waiting.step.has_ticket(worker.entry.worker_id, now_s)
+        if waiting.step.has_valid_ticket(worker.entry.worker_id, now_s)
     ]
 
 
@@ -316,10 +329,10 @@
 
 
 def _cheapest_claim(
-    room: RoomMaker, workers: Iterable[WorkerLedger], needed: Resources, priority: int
-) -> tuple[WorkerLedger, list[Run]] | None:
+    room: RoomMaker, workers: Iterable[TrackedWorker], needed: Resources, priority: int
+) -> tuple[TrackedWorker, list[Run]] | None:
     """Claim room on the worker where the fewest runs have to stop for it."""
-    best: tuple[WorkerLedger, list[Run]] | None = None
+    best: tuple[TrackedWorker, list[Run]] | None = None
     for worker in workers:
         victims = room.claim(worker, needed, priority)
         if victims is None:
@@ -335,7 +348,7 @@
     return best
 
 
-def _is_large(step: Step, workers: list[WorkerLedger]) -> bool:
+def _is_large(step: Step, workers: list[TrackedWorker]) -> bool:
     """Tell whether a task takes most of any worker that may run it."""
     charged = step.specification.charged
     return bool(workers) and all(
@@ -344,13 +357,13 @@
     )
 
 
-def _nearest_to_free(step: Step, workers: list[WorkerLedger], tasks: int) -> set[str]:
+def _nearest_to_free(step: Step, workers: list[TrackedWorker], tasks: int) -> set[str]:
     """Return the workers to keep free until tasks fit, nearest to it first."""
     needed = step.specification.charged
     candidates = [
         worker
         for worker in workers
-        if step.advised.get(worker.entry.worker_id, not step.advised)
+        if step.advice_by_worker.get(worker.entry.worker_id, not step.advice_by_worker)
     ]
     candidates.sort(
         key=lambda worker: (needed - worker.free).dominant_share(worker.entry.capacity)
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -11,7 +11,7 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.jobs import Job, Run, RunState
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 NEARLY_DONE_PERCENT = 85
 """Progress from which a run is left to end by itself."""
@@ -50,7 +50,7 @@
         return set(self._claimed)
 
     def claim(
-        self, worker: WorkerLedger, needed: Resources, priority: int
+        self, worker: TrackedWorker, needed: Resources, priority: int
     ) -> list[Run] | None:
         """Claim room for a task on a worker.
 
@@ -81,7 +81,7 @@
         return victims
 
     def reachable(
-        self, worker: WorkerLedger, priority: int | None, horizon_s: float
+        self, worker: TrackedWorker, priority: int | None, horizon_s: float
     ) -> Resources:
         """Return the room that a worker can have within some time.
 
@@ -89,7 +89,7 @@
 
         Parameters
         ----------
-        worker : WorkerLedger
+        worker : TrackedWorker
             The worker.
         priority : int or None
             Whose sake runs may be stopped for; None to stop none.
@@ -111,7 +111,7 @@
         return room
 
     def release(
-        self, worker: WorkerLedger, needed: Resources, victims: list[Run]
+        self, worker: TrackedWorker, needed: Resources, victims: list[Run]
     ) -> None:
         """Give a claim up."""
         worker_id = worker.entry.worker_id
@@ -120,7 +120,7 @@
             self._victims[worker_id].remove(run)
 
     def _candidates(
-        self, worker: WorkerLedger, priority: int, chosen: list[Run]
+        self, worker: TrackedWorker, priority: int, chosen: list[Run]
     ) -> Iterable[Run]:
         candidates = [
             run
@@ -150,7 +150,7 @@
     is_lasting = run.task.step.specification.is_lasting
     if is_lasting or percent < MIN_TRUSTED_PERCENT or run.confirmed_s is None:
         return float("inf")
-    whole_s = (run.progressed_s - run.confirmed_s) * FULL_PERCENT / percent
+    whole_s = (run.last_progress_s - run.confirmed_s) * FULL_PERCENT / percent
     return max(0.0, run.confirmed_s + whole_s - now_s)
 
 
--- a/src/fuchsiadale/decision/workflow/specification.py
+++ b/src/fuchsiadale/decision/workflow/specification.py
@@ -122,7 +122,7 @@
         return 1 if self.schedule is None else self.schedule.occurrences
 
     @property
-    def chain_s(self) -> float:
+    def critical_path_s(self) -> float:
         """Length of the longest chain of estimated work, in seconds."""
         lengths: list[float] = []
         for step in self.steps:
--- a/src/fuchsiadale/decision/workflow/ledger.py
+++ b/src/fuchsiadale/decision/workflow/tracked_worker.py
@@ -20,20 +20,20 @@
 QUARANTINE_S = 4.0
 """Seconds for which a failing worker is avoided; the length of a grey failure."""
 
-SLOWNESS_WEIGHT = 0.1
+SLOWDOWN_WEIGHT = 0.1
 """Weight of the newest run in a worker's slowness; evens out callers' estimates."""
 
-MAX_SLOWNESS = 10.0
+MAX_RUN_SLOWDOWN = 10.0
 """Bound on what one run adds to a worker's slowness; an estimate may be near 0."""
 
-CLOCK_SLOWNESS = 0.02
+MAX_CLOCK_DRIFT = 0.02
 """Share by which a worker's clock may be slow, from the platform's contract."""
 
 RunKey = tuple[TaskName, int]
 
 
 @define(eq=False)
-class WorkerLedger:
+class TrackedWorker:
     """One worker: its room and what may be running there.
 
     Attributes
@@ -50,19 +50,19 @@
         Whether it has answered under the present fencing token.
     is_recorded : bool
         Whether a successor would find it in the store.
-    failing_since_s : float or None
+    unresponsive_since_s : float or None
         Since when it has not answered, on the loop's clock.
-    leaves_s : float or None
+    earliest_departure_s : float or None
         When it may leave, as it last said, on the loop's clock.
     lease_ends_s : float
         When everything there has ended if nothing renews it, on the loop's clock.
     started_ms : int
         Start of the life that last answered, in Unix milliseconds.
-    slowness : float
+    slowdown : float
         How long its runs take, as a multiple of what is expected, on average.
-    foreign_runs : int
+    unknown_job_runs : int
         Runs there of jobs that are not known; their room is not known either.
-    foreign_since_s : float or None
+    unknown_job_runs_since_s : float or None
         Since when there are such runs, on the loop's clock.
     """
 
@@ -72,18 +72,18 @@
     is_listed: bool = True
     is_adopted: bool = False
     is_recorded: bool = False
-    failing_since_s: float | None = None
-    leaves_s: float | None = None
+    unresponsive_since_s: float | None = None
+    earliest_departure_s: float | None = None
     lease_ends_s: float = 0.0
     started_ms: int = 0
-    processed_end: int = 0
+    last_processed_end: int = 0
     failure_score: float = 0.0
-    slowness: float = 1.0
+    slowdown: float = 1.0
     quarantined_until_s: float = 0.0
     last_failed_job: str = ""
-    foreign_runs: int = 0
-    foreign_since_s: float | None = None
-    _recorded: dict[RunKey, None] = Factory(dict)
+    unknown_job_runs: int = 0
+    unknown_job_runs_since_s: float | None = None
+    _recorded_runs: dict[RunKey, None] = Factory(dict)
 
     def __attrs_post_init__(self) -> None:
         """Begin with everything free."""
@@ -95,31 +95,33 @@
         return self.entry.labels[-1] if self.entry.labels else ""
 
     @property
-    def is_closed(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether nothing new may be placed on it, whatever room it has."""
         is_draining = self.entry.state is WorkerState.DRAINING
-        return is_draining or self.failing_since_s is not None
+        return is_draining or self.unresponsive_since_s is not None
 
     @property
     def is_record_stale(self) -> bool:
         """Whether the store does not say exactly what may be there."""
-        return not self.is_recorded or self._recorded.keys() != self.runs.keys()
+        return not self.is_recorded or self._recorded_runs.keys() != self.runs.keys()
 
     @property
-    def needs_record(self) -> bool:
+    def is_record_awaited(self) -> bool:
         """Whether something waits for the record: a use, or a start."""
-        return not self.is_recorded or bool(self.runs.keys() - self._recorded.keys())
+        return not self.is_recorded or bool(
+            self.runs.keys() - self._recorded_runs.keys()
+        )
 
     def note_recorded(self, runs: Iterable[RunKey]) -> None:
         """Note that the store says what may be there."""
         self.is_recorded = True
-        self._recorded = dict.fromkeys(runs)
+        self._recorded_runs = dict.fromkeys(runs)
 
     def has_recorded(self, task: TaskName, run: int) -> bool:
         """Tell whether a successor would find a run in the store."""
-        return self.is_recorded and (task, run) in self._recorded
+        return self.is_recorded and (task, run) in self._recorded_runs
 
-    def note_lease(self, ends_s: float) -> None:
+    def extend_lease(self, ends_s: float) -> None:
         """Note when everything there ends if no later order reaches it."""
         self.lease_ends_s = max(self.lease_ends_s, ends_s)
 
@@ -129,28 +131,31 @@
             return False
         return (
             self.is_adopted
-            and not self.foreign_runs
+            and not self.unknown_job_runs
             and self.is_recorded
             and self.is_listed
-            and not self.is_closed
+            and not self.is_unavailable
         )
 
-    def add(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Count a run against the worker's room."""
         self.runs[run.task.name, run.number] = run
         self.free = self.free - run.task.step.specification.charged
 
-    def remove(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Give the room of a run that has surely ended back."""
         if self.runs.pop((run.task.name, run.number), None) is not None:
             self.free = self.free + run.task.step.specification.charged
 
-    def renew_entry(self, entry: WorkerEntry, now_s: float) -> None:
+    def update_entry(self, entry: WorkerEntry, now_s: float) -> None:
         """Take a newer registration over."""
         if entry.remaining_s is None:
-            self.leaves_s = None
-        elif entry.remaining_s != self.entry.remaining_s or self.leaves_s is None:
-            self.leaves_s = now_s + entry.remaining_s
+            self.earliest_departure_s = None
+        elif (
+            entry.remaining_s != self.entry.remaining_s
+            or self.earliest_departure_s is None
+        ):
+            self.earliest_departure_s = now_s + entry.remaining_s
         if entry.capacity != self.entry.capacity:
             self.free = self.free + (entry.capacity - self.entry.capacity)
         self.entry = entry
@@ -159,8 +164,8 @@
     def note_duration(self, ran_s: float, expected_s: float) -> None:
         """Learn from a whole run how slow the worker is."""
         if expected_s > 0.0:
-            ratio = min(ran_s / expected_s, MAX_SLOWNESS)
-            self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
+            ratio = min(ran_s / expected_s, MAX_RUN_SLOWDOWN)
+            self.slowdown += SLOWDOWN_WEIGHT * (ratio - self.slowdown)
 
     def note_success(self) -> None:
         """Lower the failure score after a run that ended as done."""
@@ -185,7 +190,7 @@
         self.quarantined_until_s = now_s + QUARANTINE_S
         return True
 
-    def count_step(self, job_id: str, occurrence: int, step: int) -> int:
+    def count_step_runs(self, job_id: str, occurrence: int, step: int) -> int:
         """Return how many runs of an occurrence of a step may be there."""
         count = 0
         for name, _ in self.runs:
--- a/src/fuchsiadale/platform/documents.py
+++ b/src/fuchsiadale/platform/documents.py
@@ -9,7 +9,7 @@
 
 from fuchsiadale.decision.resources import UNLIMITED_AMOUNT, Resources
 from fuchsiadale.decision.workflow.configuration import (
-    AdviceTerms,
+    AdviceTiming,
     CellConfiguration,
     Queue,
     Workspace,
@@ -125,8 +125,8 @@
     )
 
 
-def _decode_advice(item: dict[str, Any]) -> AdviceTerms:
-    return AdviceTerms(
+def _decode_advice(item: dict[str, Any]) -> AdviceTiming:
+    return AdviceTiming(
         float(item.get("decide_ms", 0.0)) / MS_PER_S,
         float(item.get("each_ms", 0.0)) / MS_PER_S,
         float(item.get("valid_ms", 0.0)) / MS_PER_S,
--- a/src/fuchsiadale/platform/worker_api.py
+++ b/src/fuchsiadale/platform/worker_api.py
@@ -7,9 +7,9 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.decision.workflow.messages import (
-    EndedRow,
     EndKind,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
     StartOutcome,
     WorkerReport,
 )
@@ -187,19 +187,19 @@
     return [row for row in rows if isinstance(row, list)] if rows else []
 
 
-def _decode_running(row: list[Any]) -> RunningRow | None:
+def _decode_running(row: list[Any]) -> ReportedRun | None:
     task = parse_task_name(str(row[0]))
     if task is None or len(row) < 4:
         return None
     load = row[4] if len(row) > 4 and isinstance(row[4], int | float) else None
-    return RunningRow(task, int(row[1]), str(row[2] or ""), int(row[3] or 0), load)
+    return ReportedRun(task, int(row[1]), str(row[2] or ""), int(row[3] or 0), load)
 
 
-def _decode_ended(row: list[Any]) -> EndedRow | None:
+def _decode_ended(row: list[Any]) -> ReportedEnd | None:
     if len(row) < 5:
         return None
     task = parse_task_name(str(row[1]))
     kind = _END_KINDS.get(str(row[3]))
     if task is None or kind is None:
         return None
-    return EndedRow(int(row[0]), task, int(row[2]), kind, str(row[4] or ""))
+    return ReportedEnd(int(row[0]), task, int(row[2]), kind, str(row[4] or ""))
--- a/tests/load_kinds.py
+++ b/tests/load_kinds.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 
 from fuchsiadale.decision.resources import Resources
-from fuchsiadale.decision.workflow.configuration import AdviceTerms, Queue
+from fuchsiadale.decision.workflow.configuration import AdviceTiming, Queue
 
 
 @frozen
@@ -53,7 +53,7 @@
                 3,
                 1.5,
                 0.25,
-                advice=AdviceTerms(0.019, 0.00028, 2.0),
+                advice=AdviceTiming(0.019, 0.00028, 2.0),
             ),
             6.2,
             0.607,
@@ -74,7 +74,7 @@
                 3,
                 4.0,
                 3.0,
-                advice=AdviceTerms(0.17, 0.0024, 2.0),
+                advice=AdviceTiming(0.17, 0.0024, 2.0),
             ),
             0.4,
             3.35,
@@ -97,7 +97,7 @@
                 2,
                 2.2,
                 1.0,
-                advice=AdviceTerms(0.87, 0.008, 2.0),
+                advice=AdviceTiming(0.87, 0.008, 2.0),
             ),
             0.735,
             2.93,
@@ -123,7 +123,7 @@
                 4,
                 4.0,
                 3.0,
-                advice=AdviceTerms(0.14, 0.002, 2.0),
+                advice=AdviceTiming(0.14, 0.002, 2.0),
             ),
             0.95,
             1.41,
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -22,11 +22,11 @@
 )
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
-    EndedRow,
     EndKind,
     Order,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
+    RequestAdvice,
     StartOutcome,
     StartRun,
     StopRun,
@@ -81,7 +81,7 @@
 class _Worker:
     entry: WorkerEntry
     runs: dict[tuple[TaskName, int], _Run] = Factory(dict)
-    ends: list[EndedRow] = Factory(list)
+    ends: list[ReportedEnd] = Factory(list)
     last_end: int = 0
 
 
@@ -229,13 +229,13 @@
     def _plan(self) -> None:
         self._is_planned = False
         self._obey(self.planner.plan(self.lanes))
-        self.scheduler.decisions.take()
+        self.scheduler.decisions.pop_all()
 
     def _look(self, worker_id: str) -> None:
         worker = self.workers[worker_id]
         now_s = self.clock.now()
         rows = tuple(
-            RunningRow(
+            ReportedRun(
                 run.task,
                 run.run,
                 self._checkpoint(run, now_s),
@@ -251,11 +251,11 @@
         self._plan_soon()
 
     def _note_states(self) -> None:
-        for job_id in self.scheduler.unrecorded:
+        for job_id in self.scheduler.unrecorded_jobs:
             job = self.scheduler.jobs[job_id]
             if job.state.is_final:
                 self.shown.setdefault(job_id, (job.state, self.clock.now()))
-        self.scheduler.unrecorded.clear()
+        self.scheduler.unrecorded_jobs.clear()
 
     # Orders
 
@@ -265,16 +265,16 @@
                 self._after(START_S, self._starting(order))
             elif isinstance(order, StopRun):
                 self._after(START_S, self._stopping(order))
-            elif isinstance(order, AskAdvice):
+            elif isinstance(order, RequestAdvice):
                 self._ask(order)
 
     def _starting(self, order: StartRun) -> Callable[[], None]:
         def start() -> None:
-            if not self.scheduler.is_wanted(order):
+            if not self.scheduler.is_start_needed(order):
                 return
-            if self.scheduler.has_expired(order):
+            if self.scheduler.has_ticket_expired(order):
                 refused = StartOutcome.TICKET_REFUSED
-                self._obey(self.scheduler.note_start(order, refused))
+                self._obey(self.scheduler.note_start_outcome(order, refused))
                 return
             job = self.submitted[order.task.step.job_id]
             now_s = self.clock.now()
@@ -286,7 +286,7 @@
             run = _Run(order.task, order.run, work_s, begins_s, done_s, fails)
             worker = self.workers[order.worker_id]
             worker.runs[order.task, order.run] = run
-            self._obey(self.scheduler.note_start(order, StartOutcome.STARTED))
+            self._obey(self.scheduler.note_start_outcome(order, StartOutcome.STARTED))
             left_s = (begins_s - now_s) + (work_s - done_s) * (0.5 if fails else 1.0)
             kind = EndKind.FAILED if fails else EndKind.DONE
             self._after(left_s, lambda: self._end(order.worker_id, run, kind))
@@ -296,7 +296,7 @@
     def _stopping(self, order: StopRun) -> Callable[[], None]:
         def stop() -> None:
             run = self.workers[order.worker_id].runs.get((order.task, order.run))
-            self.scheduler.note_stopped(order)
+            self.scheduler.note_stop_acknowledged(order)
             if run is not None:
                 self._end(order.worker_id, run, EndKind.STOPPED)
 
@@ -312,7 +312,7 @@
             if not checkpoint:
                 self.waste_s += run.worked_s(self.clock.now())
         worker.last_end += 1
-        row = EndedRow(worker.last_end, run.task, run.run, kind, checkpoint)
+        row = ReportedEnd(worker.last_end, run.task, run.run, kind, checkpoint)
         worker.ends.append(row)
         self._look(worker_id)
 
@@ -325,7 +325,7 @@
         saved_s = worked_s if is_stop else math.floor(worked_s / CHECKPOINT_S)
         return repr(saved_s) if saved_s > 0.0 else ""
 
-    def _ask(self, order: AskAdvice) -> None:
+    def _ask(self, order: RequestAdvice) -> None:
         self._busy_lanes += 1
         is_served = self._busy_lanes <= self.lanes
 
@@ -341,7 +341,7 @@
             self.scheduler.note_advice(order, outcome, valid_s)
             self._plan_soon()
 
-        self._after(order.cost_s if is_served else 0.0, answer)
+        self._after(order.expected_duration_s if is_served else 0.0, answer)
 
     def _may_run(self, step: StepName, worker_id: str) -> bool:
         """Tell whether a step may run on a worker; some worker may always."""
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -51,16 +51,16 @@
     async def main() -> None:
         recording = Recording()
         cell = recording.cell
-        cell.adopt()
+        cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         start = cell.plan()[0]
         recording.committer.wake()
         await asyncio.sleep(0.1)
         stored = (await load_cell(recording.store)).unwrap()
         assert stored.workers[0].runs == [(start.task, start.run)]
-        assert cell.scheduler.may_send(start)
-        cell.obey([start])
-        cell.end_all()
+        assert cell.scheduler.is_start_recorded(start)
+        cell.execute([start])
+        cell.end_all_runs()
         recording.committer.wake()
         await asyncio.sleep(0.1)
         stored = (await load_cell(recording.store)).unwrap()
@@ -126,7 +126,7 @@
     async def main() -> None:
         recording = Recording()
         cell = recording.cell
-        cell.adopt()
+        cell.adopt_workers()
         for number in range(2):
             record = make_record(number)
             cell.scheduler.accept(record, 0.0)
@@ -154,7 +154,7 @@
     async def main() -> None:
         recording = Recording()
         cell = recording.cell
-        cell.adopt()
+        cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         cell.scheduler.cancel(make_record().job_id)
         recording.committer.wake()
--- a/tests/test_cell_explain.py
+++ b/tests/test_cell_explain.py
@@ -31,17 +31,17 @@
 
 
 def events(cell: Cell) -> list[str]:
-    decisions, _ = cell.scheduler.decisions.take()
+    decisions, _ = cell.scheduler.decisions.pop_all()
     return [line.event for line in story_of(JOB, lines_of(decisions))]
 
 
 def test_job_that_failed_shows_each_failed_run_and_where():
     cell = Cell(2, make_configuration(make_queue(max_attempts=2)))
-    cell.adopt()
+    cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
     for _ in range(2):
-        cell.run_plan()
-        cell.end_all(EndKind.FAILED)
+        cell.plan_and_execute()
+        cell.end_all_runs(EndKind.FAILED)
     story = events(cell)
     assert story.count("run_ended") == 2
     assert story[-1] == "job_ended"
@@ -49,15 +49,15 @@
 
 def test_job_that_was_late_shows_the_silence_of_its_worker():
     cell = Cell(1)
-    cell.adopt()
+    cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.note_failure_to_answer("worker-0")
     cell.clock.advance(10.0)
     cell.scheduler.check_time()
     cell.running["worker-0"].clear()
-    cell.look("worker-0")
-    cell.run_plan()
+    cell.poll("worker-0")
+    cell.plan_and_execute()
     story = events(cell)
     assert story.index("worker_silent") < story.index("lease_lapsed")
     assert story.count("task_placed") == 2
@@ -65,11 +65,11 @@
 
 def test_run_that_was_broken_off_shows_the_reason():
     cell = Cell(1, make_configuration(make_queue("urgent"), make_queue(priority=2)))
-    cell.adopt()
+    cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.preempt(cell.scheduler.jobs[JOB].tasks()[0].runs[0])
-    decisions, _ = cell.scheduler.decisions.take()
+    decisions, _ = cell.scheduler.decisions.pop_all()
     story = story_of(JOB, lines_of(decisions))
     assert story[-1].fields["reason"] == "preempted"
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -95,11 +95,11 @@
     queue = found.queues[0]
     assert (queue.pool, queue.slack_s, queue.priority) == ("s", 3.0, 2)
     assert queue.advice is not None
-    assert queue.advice.cost_s(10) == pytest.approx(0.296)
+    assert queue.advice.call_duration_s(10) == pytest.approx(0.296)
     limit = found.workspaces[0].limit
     assert limit == Resources(1000, UNLIMITED_AMOUNT, 4)
     assert found.find_queue("a.example", "/x/1") is queue
-    assert found.workspace_of_key("k") is found.workspaces[0]
+    assert found.find_workspace_by_key("k") is found.workspaces[0]
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"version":"x"}', b"\xff"])
--- a/tests/test_workflow_forecast.py
+++ b/tests/test_workflow_forecast.py
@@ -35,7 +35,7 @@
     queue = make_queue(stretch=2.0, slack_s=1.0)
     changes = {} if limit is None else {"limit": limit}
     cell = Cell(2, make_configuration(queue, **changes))
-    cell.adopt()
+    cell.adopt_workers()
     return cell
 
 
@@ -92,11 +92,11 @@
 def test_ended_tasks_of_a_step_tell_how_long_its_others_take():
     cell = make_cell()
     cell.scheduler.accept(make_record(0, make_step(2, 4000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     (task, run) = next(iter(cell.running["worker-0"]))
     cell.clock.advance(6.0)
-    cell.end("worker-0", task, run)
-    cell.look_at_all()
+    cell.end_run("worker-0", task, run)
+    cell.poll_all()
     job = cell.scheduler.jobs[make_record().job_id]
     step_s = cell.scheduler.forecast().step_s(job.steps[0, 0])
     assert step_s == pytest.approx(6.0, abs=0.1)
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -41,7 +41,7 @@
             assert queue is not None
             forecast = cell.scheduler.forecast()
             due[job.record.job_id] = forecast.due_s(job, 0, queue)
-        cell.run_plan()
+        cell.plan_and_execute()
         for order in cell.starts[started:]:
             job = cell.scheduler.jobs[order.task.step.job_id]
             step = job.record.specification.steps[order.task.step.step]
@@ -51,8 +51,8 @@
         while ends and ends[0][0] <= now_s:
             _, _, worker_id, task, run = heappop(ends)
             if (task, run) in cell.running[worker_id]:
-                cell.end(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
-        cell.look_at_all()
+                cell.end_run(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
+        cell.poll_all()
         for job_id, job in cell.scheduler.jobs.items():
             ended_s = job.ended_s
             if ended_s is not None and ended_s <= due[job_id]:
@@ -74,7 +74,7 @@
 def make_loaded_cell() -> Cell:
     configuration = make_configuration(make_queue(stretch=2.0, slack_s=0.5))
     cell = Cell(4, configuration)
-    cell.adopt()
+    cell.adopt_workers()
     return cell
 
 
@@ -115,11 +115,11 @@
     cell = make_loaded_cell()
     for number in range(200):
         cell.scheduler.accept(make_record(number, make_step(8, 2000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     tried = []
     plan_step = cell.planner._plan_step
     cell.planner._plan_step = lambda *args: tried.append(1) or plan_step(*args)  # type: ignore[method-assign,func-returns-value]
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(tried) == MAX_UNPLACED
 
 
--- a/tests/test_workflow_model.py
+++ b/tests/test_workflow_model.py
@@ -10,7 +10,7 @@
 from fuchsiadale.decision.workflow.messages import EndKind
 from fuchsiadale.decision.workflow.specification import JobRecord
 from tests.workflow_builders import make_record, make_step
-from tests.workflow_world import World
+from tests.workflow_simulation import World
 
 SHAPES = (
     (make_step(3, 1500),),
--- a/tests/test_workflow_planning.py
+++ b/tests/test_workflow_planning.py
@@ -25,50 +25,50 @@
 def make_cell(*queues: object, workers: int = 1, **changes: object) -> Cell:
     configuration = make_configuration(*queues, **changes)  # type: ignore[arg-type]
     cell = Cell(workers, configuration)
-    cell.adopt()
+    cell.adopt_workers()
     return cell
 
 
 def test_steps_run_in_order_and_the_job_completes():
     cell = make_cell()
     cell.scheduler.accept(make_record(0, make_step(2), make_step(1, after=(0,))), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert [str(order.task) for order in cell.starts] == [
         f"{make_record().job_id}.0.0.0",
         f"{make_record().job_id}.0.0.1",
     ]
-    cell.end_all()
-    cell.run_plan()
+    cell.end_all_runs()
+    cell.plan_and_execute()
     assert len(cell.starts) == 3
-    cell.end_all()
+    cell.end_all_runs()
     job = cell.scheduler.jobs[make_record().job_id]
     assert job.state is JobState.COMPLETED
-    assert job.shown_state is JobState.RUNNING
+    assert job.reported_state is JobState.RUNNING
     job.recorded_state = JobState.COMPLETED
-    assert job.shown_state is JobState.COMPLETED
+    assert job.reported_state is JobState.COMPLETED
 
 
 def test_urgent_work_stops_checkpointing_work_which_resumes_later():
     cell = make_cell(URGENT, BATCH)
     step = make_step(4, is_checkpointing=True)
     cell.scheduler.accept(make_record(0, step, queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     for key in cell.running["worker-0"]:
         cell.running["worker-0"][key] = "saved"
     cell.clock.advance(1.0)
-    cell.look_at_all()
+    cell.poll_all()
     cell.scheduler.accept(make_record(1, make_step(2), queue="urgent"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.stops) == 2
-    cell.look_at_all()
-    cell.run_plan()
+    cell.poll_all()
+    cell.plan_and_execute()
     urgent = [order for order in cell.starts if order.task.step.job_id.endswith("1")]
     assert len(urgent) == 2
     for task, run in list(cell.running["worker-0"]):
         if task.step.job_id.endswith("1"):
-            cell.end("worker-0", task, run)
-    cell.look_at_all()
-    cell.run_plan()
+            cell.end_run("worker-0", task, run)
+    cell.poll_all()
+    cell.plan_and_execute()
     assert [order.checkpoint for order in cell.starts[-2:]] == ["saved", "saved"]
     assert [order.run for order in cell.starts[-2:]] == [2, 2]
 
@@ -77,7 +77,7 @@
     cell = make_cell(URGENT, BATCH)
     step = make_step(4, is_checkpointing=True)
     cell.scheduler.accept(make_record(0, step, queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.clock.advance(1.0)
     cell.scheduler.accept(make_record(1, make_step(1), queue="urgent"), 0.0)
     first = cell.plan()
@@ -93,10 +93,10 @@
 def test_work_that_would_lose_something_is_not_stopped(changes: dict[str, object]):
     cell = make_cell(URGENT, BATCH)
     cell.scheduler.accept(make_record(0, make_step(4, **changes), queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.clock.advance(1.0)
     cell.scheduler.accept(make_record(1, make_step(1), queue="urgent"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert cell.stops == []
 
 
@@ -105,7 +105,7 @@
     cell.scheduler.accept(make_record(0, make_step(4, estimated_s=1.0)), 0.0)
     cell.clock.advance(7.5)
     cell.scheduler.accept(make_record(1, make_step(4, estimated_s=1.0)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert {order.task.step.job_id for order in cell.starts} == {make_record(1).job_id}
 
 
@@ -113,11 +113,11 @@
     cell = make_cell(workers=2)
     gang = make_step(3, 2000, is_gang=True)
     cell.scheduler.accept(make_record(0, gang), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert [order.run for order in cell.starts] == [1, 1, 1]
     order = cell.starts[0]
-    cell.end(order.worker_id, order.task, order.run)
-    cell.look(order.worker_id)
+    cell.end_run(order.worker_id, order.task, order.run)
+    cell.poll(order.worker_id)
     job = cell.scheduler.jobs[make_record().job_id]
     assert job.state is JobState.COMPLETED
 
@@ -125,15 +125,15 @@
 def test_gang_whose_member_ended_is_stopped_and_starts_again_with_a_higher_number():
     cell = make_cell(workers=2)
     cell.scheduler.accept(make_record(0, make_step(3, 2000, is_gang=True)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     order = cell.starts[0]
-    cell.end(order.worker_id, order.task, order.run, EndKind.FAILED)
-    cell.look(order.worker_id)
+    cell.end_run(order.worker_id, order.task, order.run, EndKind.FAILED)
+    cell.poll(order.worker_id)
     assert len(cell.stops) == 2
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 3
-    cell.look_at_all()
-    cell.run_plan()
+    cell.poll_all()
+    cell.plan_and_execute()
     assert [order.run for order in cell.starts[3:]] == [2, 2, 2]
 
 
@@ -142,27 +142,27 @@
     kept = make_step(4, 1000)
     saved = make_step(4, 1000, is_checkpointing=True)
     cell.scheduler.accept(make_record(0, kept, queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.accept(make_record(1, saved, queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.clock.advance(1.0)
     gang = make_step(2, 4000, is_gang=True)
     cell.scheduler.accept(make_record(2, gang, queue="urgent"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert cell.stops == []
 
 
 def test_workspace_never_runs_more_than_its_limit():
     cell = make_cell(workers=3, limit=Resources(5000, 1 << 30, 1 << 30))
     cell.scheduler.accept(make_record(0, make_step(9)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 5
 
 
 def test_tasks_of_a_step_spread_as_far_as_it_asks():
     cell = make_cell(workers=3)
     cell.scheduler.accept(make_record(0, make_step(6, 100, max_per_worker=1)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len({order.worker_id for order in cell.starts}) == 3
     assert len(cell.starts) == 3
 
@@ -170,12 +170,12 @@
 def test_task_that_failed_is_tried_elsewhere_and_its_job_fails_after_the_last_try():
     cell = make_cell(make_queue(max_attempts=2), workers=2)
     cell.scheduler.accept(make_record(), 0.0)
-    cell.run_plan()
-    cell.end_all(EndKind.FAILED)
-    cell.run_plan()
+    cell.plan_and_execute()
+    cell.end_all_runs(EndKind.FAILED)
+    cell.plan_and_execute()
     assert len({order.worker_id for order in cell.starts}) == 2
-    cell.end_all(EndKind.FAILED)
-    cell.run_plan()
+    cell.end_all_runs(EndKind.FAILED)
+    cell.plan_and_execute()
     assert len(cell.starts) == 2
     assert cell.scheduler.jobs[make_record().job_id].state is JobState.FAILED
 
@@ -183,17 +183,17 @@
 def test_only_workers_with_a_valid_ticket_are_used():
     cell = make_cell(make_queue(advice=ADVICE), workers=3)
     cell.scheduler.accept(make_record(0, make_step(6, 2000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert cell.starts == []
     cell.answer_advice(["worker-1"])
-    cell.run_plan()
+    cell.plan_and_execute()
     assert {order.worker_id for order in cell.starts} == {"worker-1"}
     assert len(cell.starts) == 2
     cell.clock.advance(3.0)
-    cell.end_all()
-    cell.run_plan()
+    cell.end_all_runs()
+    cell.plan_and_execute()
     assert len(cell.starts) == 2
-    assert [order.worker_ids for order in cell.asked] == [("worker-1",)]
+    assert [order.worker_ids for order in cell.advice_requests] == [("worker-1",)]
 
 
 def test_dear_calls_for_advice_leave_lanes_for_cheap_ones():
@@ -202,21 +202,21 @@
     cell = make_cell(dear, cheap, workers=3)
     for number in range(4):
         cell.scheduler.accept(make_record(number, queue="dear"), 0.0)
-    cell.run_plan()
-    assert len(cell.asked) == 2
+    cell.plan_and_execute()
+    assert len(cell.advice_requests) == 2
     for number in range(4, 6):
         cell.scheduler.accept(make_record(number, queue="cheap"), 0.0)
-    cell.run_plan()
-    assert len(cell.asked) == 4
+    cell.plan_and_execute()
+    assert len(cell.advice_requests) == 4
 
 
 def test_cancelled_job_is_stopped_and_shown_as_cancelled():
     cell = make_cell()
     cell.scheduler.accept(make_record(0, make_step(2)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.cancel(make_record().job_id)
-    cell.obey(cell.scheduler.take_orders())
-    cell.look_at_all()
+    cell.execute(cell.scheduler.pop_orders())
+    cell.poll_all()
     assert len(cell.stops) == 2
     assert cell.scheduler.workers["worker-0"].runs == {}
     assert cell.scheduler.jobs[make_record().job_id].state is JobState.CANCELLED
@@ -226,26 +226,26 @@
     cell = make_cell(make_queue(max_attempts=1))
     cell.scheduler.accept(make_record(0, make_step(1, is_lasting=True)), 0.0)
     for kind in (EndKind.FAILED, EndKind.DONE, EndKind.STOPPED):
-        cell.run_plan()
-        cell.end_all(kind)
-    cell.run_plan()
+        cell.plan_and_execute()
+        cell.end_all_runs(kind)
+    cell.plan_and_execute()
     assert len(cell.starts) == 4
 
 
 def test_work_that_cannot_be_stopped_leaves_room_for_urgent_work():
     cell = make_cell(URGENT, BATCH, workers=2)
     cell.scheduler.accept(make_record(0, make_step(8, 1000), queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 6
     cell.scheduler.accept(make_record(1, make_step(2, 1000), queue="urgent"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 8
 
 
 def test_task_that_needs_a_whole_worker_gets_an_empty_one():
     cell = make_cell(URGENT, BATCH, workers=1)
     cell.scheduler.accept(make_record(0, make_step(1, 4000), queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 1
 
 
@@ -254,21 +254,21 @@
     for _ in range(10):
         cell.scheduler.workers["worker-0"].note_duration(3.0, 1.0)
     cell.scheduler.accept(make_record(0, make_step(5, 1000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert [order.worker_id for order in cell.starts] == ["worker-1"] * 4 + ["worker-0"]
 
 
 def test_task_that_needs_a_whole_worker_is_not_starved_by_small_ones():
     cell = make_cell(make_queue("large", priority=1, stretch=20.0), BATCH, workers=1)
     cell.scheduler.accept(make_record(0, make_step(4, 900), queue="batch"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.accept(make_record(1, make_step(1, 4000), queue="large"), 0.0)
     cell.scheduler.accept(make_record(2, make_step(4, 900), queue="batch"), 0.0)
     started = len(cell.starts)
     for task, run in list(cell.running["worker-0"]):
-        cell.end("worker-0", task, run)
-        cell.look("worker-0")
-        cell.run_plan()
+        cell.end_run("worker-0", task, run)
+        cell.poll("worker-0")
+        cell.plan_and_execute()
     assert [order.task.step.job_id for order in cell.starts[started:]] == [
         make_record(1).job_id
     ]
@@ -278,9 +278,9 @@
     queue = make_queue(advice=ADVICE.__class__(0.5, 0.0, 2.0), stretch=30.0)
     cell = make_cell(queue)
     cell.scheduler.accept(make_record(0, make_step(1, 4000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.answer_advice()
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(cell.starts) == 1
     last = FRONT_STEPS + 1
     for number in range(1, last + 1):
@@ -288,23 +288,25 @@
     asked = ask_until_quiet(cell)
     assert asked == [make_record(number).job_id for number in range(1, last)]
     cell.clock.advance(1.0)
-    cell.look_at_all()
+    cell.poll_all()
     assert ask_until_quiet(cell) == []
     cell.clock.advance(0.3)
     assert ask_until_quiet(cell) == asked
     cell.clock.advance(0.4)
-    cell.run_plan()
-    assert [order.step.job_id for order in cell.asked] == [make_record(last).job_id]
+    cell.plan_and_execute()
+    assert [order.step.job_id for order in cell.advice_requests] == [
+        make_record(last).job_id
+    ]
 
 
 def ask_until_quiet(cell: Cell) -> list[str]:
     """Plan and grant until nothing is asked; return the jobs that were asked for."""
     jobs: list[str] = []
     while True:
-        cell.run_plan()
-        if not cell.asked:
+        cell.plan_and_execute()
+        if not cell.advice_requests:
             return jobs
-        jobs += [order.step.job_id for order in cell.asked]
+        jobs += [order.step.job_id for order in cell.advice_requests]
         cell.answer_advice()
 
 
@@ -312,22 +314,22 @@
     queue = make_queue(advice=ADVICE.__class__(0.5, 0.0, 2.0), stretch=30.0)
     cell = make_cell(queue)
     cell.scheduler.accept(make_record(0, make_step(1, 4000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.answer_advice()
-    cell.run_plan()
+    cell.plan_and_execute()
     for number in range(1, 4):
         cell.scheduler.accept(make_record(number, make_step(1, 4000)), 0.0)
-    cell.run_plan()
-    assert len(cell.asked) == LANES // 2
+    cell.plan_and_execute()
+    assert len(cell.advice_requests) == LANES // 2
 
 
 def test_worker_held_for_a_large_task_is_open_to_work_as_urgent():
     cell = make_cell(make_queue("large", priority=1, stretch=20.0), workers=1)
     cell.scheduler.accept(make_record(0, make_step(1, 2500), queue="large"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     cell.scheduler.accept(make_record(1, make_step(1, 4000), queue="large"), 0.0)
     cell.scheduler.accept(make_record(2, make_step(1, 900), queue="large"), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     assert [order.task.step.job_id for order in cell.starts] == [
         make_record(0).job_id,
         make_record(2).job_id,
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -7,17 +7,17 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import (
-    AdviceTerms,
+    AdviceTiming,
     CellConfiguration,
     Queue,
     Workspace,
 )
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
-    EndedRow,
     EndKind,
     Order,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
+    RequestAdvice,
     StartOutcome,
     StartRun,
     StopRun,
@@ -37,9 +37,9 @@
 POOL = "pool"
 QUEUE = "queue"
 WORKSPACE = "workspace"
-BORN_MS = 1_000_000
+STARTED_MS = 1_000_000
 LANES = 4
-ADVICE = AdviceTerms(0.02, 0.001, 2.0)
+ADVICE = AdviceTiming(0.02, 0.001, 2.0)
 
 
 def make_queue(name: str = QUEUE, **changes: object) -> Queue:
@@ -101,7 +101,7 @@
         "state": WorkerState.READY,
         "capacity": Resources(4000, 4000, 4),
         "labels": ("a", f"r{index // 2}"),
-        "started_ms": BORN_MS,
+        "started_ms": STARTED_MS,
         **changes,
     }
     return WorkerEntry(**fields)  # type: ignore[arg-type]
@@ -132,20 +132,20 @@
         self.planner = Planner(self.scheduler)
         self.entries = [make_entry(index) for index in range(workers)]
         self.running: dict[str, dict[tuple[TaskName, int], str]] = {}
-        self.ends: dict[str, list[EndedRow]] = {}
+        self.ends: dict[str, list[ReportedEnd]] = {}
         self.starts: list[StartRun] = []
         self.stops: list[StopRun] = []
-        self.asked: list[AskAdvice] = []
+        self.advice_requests: list[RequestAdvice] = []
 
-    def adopt(self) -> None:
+    def adopt_workers(self) -> None:
         """Let every worker register and answer."""
         self.scheduler.observe_workers(self.entries)
         for entry in self.entries:
             self.running.setdefault(entry.worker_id, {})
             self.scheduler.workers[entry.worker_id].note_recorded(())
-            self.look(entry.worker_id)
+            self.poll(entry.worker_id)
 
-    def look(self, worker_id: str, born_ms: int = BORN_MS) -> None:
+    def poll(self, worker_id: str, born_ms: int = STARTED_MS) -> None:
         """Let a worker report."""
         sent_s = self.clock.now()
         self.clock.advance(0.001)
@@ -153,51 +153,55 @@
             born_ms,
             0,
             tuple(
-                RunningRow(task, run, checkpoint, 50, 1.0)
+                ReportedRun(task, run, checkpoint, 50, 1.0)
                 for (task, run), checkpoint in self.running[worker_id].items()
             ),
             tuple(self.ends.get(worker_id, ())),
         )
-        self.obey(self.scheduler.note_report(worker_id, report, sent_s))
+        self.execute(self.scheduler.note_report(worker_id, report, sent_s))
 
-    def look_at_all(self) -> None:
+    def poll_all(self) -> None:
         """Let every worker report."""
         for entry in self.entries:
-            self.look(entry.worker_id)
+            self.poll(entry.worker_id)
 
-    def obey(self, orders: Iterable[Order]) -> None:
+    def execute(self, orders: Iterable[Order]) -> None:
         """Carry orders out."""
         for order in orders:
             if isinstance(order, StartRun):
                 self.starts.append(order)
                 key = (order.task, order.run)
                 self.running[order.worker_id][key] = order.checkpoint
-                self.obey(self.scheduler.note_start(order, StartOutcome.STARTED))
+                self.execute(
+                    self.scheduler.note_start_outcome(order, StartOutcome.STARTED)
+                )
             elif isinstance(order, StopRun):
                 self.stops.append(order)
                 if (order.task, order.run) in self.running[order.worker_id]:
-                    self.end(order.worker_id, order.task, order.run, EndKind.STOPPED)
-                self.scheduler.note_stopped(order)
-            elif isinstance(order, AskAdvice):
-                self.asked.append(order)
+                    self.end_run(
+                        order.worker_id, order.task, order.run, EndKind.STOPPED
+                    )
+                self.scheduler.note_stop_acknowledged(order)
+            elif isinstance(order, RequestAdvice):
+                self.advice_requests.append(order)
 
     def plan(self) -> list[Order]:
         """Plan once without carrying the orders out."""
         return self.planner.plan(LANES)
 
-    def run_plan(self) -> None:
+    def plan_and_execute(self) -> None:
         """Plan once and carry the orders out."""
-        self.obey(self.plan())
+        self.execute(self.plan())
 
     def answer_advice(self, granted: Iterable[str] | None = None) -> None:
         """Grant what was asked for, or only some workers."""
-        asked, self.asked = self.asked, []
+        asked, self.advice_requests = self.advice_requests, []
         for order in asked:
             allowed = order.worker_ids if granted is None else tuple(granted)
             tickets = {item: "t" for item in order.worker_ids if item in allowed}
             self.scheduler.note_advice(order, tickets, 2.0)
 
-    def end(
+    def end_run(
         self,
         worker_id: str,
         task: TaskName,
@@ -208,11 +212,11 @@
         """Let a run end; the next look tells of it."""
         del self.running[worker_id][task, run]
         rows = self.ends.setdefault(worker_id, [])
-        rows.append(EndedRow(len(rows) + 1, task, run, kind, checkpoint))
+        rows.append(ReportedEnd(len(rows) + 1, task, run, kind, checkpoint))
 
-    def end_all(self, kind: EndKind = EndKind.DONE) -> None:
+    def end_all_runs(self, kind: EndKind = EndKind.DONE) -> None:
         """Let everything that runs end, and look."""
         for worker_id, runs in self.running.items():
             for task, run in list(runs):
-                self.end(worker_id, task, run, kind)
-        self.look_at_all()
+                self.end_run(worker_id, task, run, kind)
+        self.poll_all()
--- a/tests/workflow_world.py
+++ b/tests/workflow_simulation.py
@@ -9,15 +9,15 @@
 from fuchsiadale.decision.workflow.jobs import (
     JobProgress,
     JobState,
+    collect_progress,
     find_task,
     make_job,
-    progress_of,
 )
 from fuchsiadale.decision.workflow.messages import (
-    EndedRow,
     EndKind,
     Order,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
     StartOutcome,
     StartRun,
     StopRun,
@@ -28,8 +28,8 @@
 from fuchsiadale.decision.workflow.scheduler import Scheduler
 from fuchsiadale.decision.workflow.specification import JobRecord
 from tests.workflow_builders import (
-    BORN_MS,
     LANES,
+    STARTED_MS,
     make_configuration,
     make_entry,
     make_queue,
@@ -60,12 +60,12 @@
 
     worker_id: str
     capacity: Resources
-    born_ms: int = BORN_MS
+    born_ms: int = STARTED_MS
     fence: int = 0
     lease_end_s: float = 0.0
     running: dict[tuple[TaskName, int], str] = field(factory=dict)
     closed: dict[TaskName, int] = field(factory=dict)
-    ends: list[EndedRow] = field(factory=list)
+    ends: list[ReportedEnd] = field(factory=list)
     last_end: int = 0
     void: set[int] = field(factory=set)
 
@@ -75,7 +75,7 @@
         task, run = key
         self.closed[task] = max(run, self.closed.get(task, 0))
         self.last_end += 1
-        self.ends.append(EndedRow(self.last_end, task, run, kind, checkpoint))
+        self.ends.append(ReportedEnd(self.last_end, task, run, kind, checkpoint))
 
 
 class World:
@@ -120,7 +120,7 @@
         for worker_id in self.scheduler.workers:
             runs = self.recorded_runs.get(worker_id, [])
             self.scheduler.restore_runs(worker_id, runs, until_s)
-        self.send(self.scheduler.take_orders())
+        self.send(self.scheduler.pop_orders())
 
     def send(self, orders: list[Order]) -> None:
         """Put orders on their way; starts wait for their record."""
@@ -136,9 +136,9 @@
         now = self.clock.now()
         unsent, self.unsent = self.unsent, []
         for order in unsent:
-            if not self.scheduler.is_wanted(order):
+            if not self.scheduler.is_start_needed(order):
                 continue
-            if self.scheduler.may_send(order):
+            if self.scheduler.is_start_recorded(order):
                 self.scheduler.note_lease(order.worker_id, now + LAPSE_S)
                 self.pending.append(Sent(self.epoch, order, now + LEASE_S))
             else:
@@ -153,7 +153,7 @@
         """Store a cancellation and tell the owner."""
         self.cancelled.add(job_id)
         self.scheduler.cancel(job_id)
-        self.send(self.scheduler.take_orders())
+        self.send(self.scheduler.pop_orders())
 
     def plan(self) -> None:
         """Let the owner plan."""
@@ -162,14 +162,14 @@
 
     def commit(self) -> None:
         """Record the owner's progress and what runs on closed workers."""
-        for job_id in self.scheduler.unrecorded:
+        for job_id in self.scheduler.unrecorded_jobs:
             job = self.scheduler.jobs[job_id]
-            self.progress[job_id] = progress_of(job)
+            self.progress[job_id] = collect_progress(job)
             job.recorded_state = job.state
             if job.state is JobState.FAILED:
                 counts = [self.failed_ever.get(task.name, 0) for task in job.tasks()]
                 assert max(counts) >= MAX_ATTEMPTS, "failed without cause"
-        self.scheduler.unrecorded.clear()
+        self.scheduler.unrecorded_jobs.clear()
         for worker_id, worker in self.scheduler.workers.items():
             self.recorded_runs[worker_id] = list(worker.runs)
             worker.note_recorded(worker.runs)
@@ -185,19 +185,23 @@
             return
         worker.fence = self.epoch
         worker.lease_end_s = max(worker.lease_end_s, now + LEASE_S)
-        is_recorded = not self.scheduler.unrecorded
+        is_recorded = not self.scheduler.unrecorded_jobs
         if is_recorded and known.started_ms == worker.born_ms:
-            through = known.processed_end
+            through = known.last_processed_end
             for end in worker.ends:
-                is_binding = end.number not in worker.void
-                if end.number <= through and end.kind is EndKind.DONE and is_binding:
+                is_binding = end.sequence_number not in worker.void
+                if (
+                    end.sequence_number <= through
+                    and end.kind is EndKind.DONE
+                    and is_binding
+                ):
                     self.acknowledged_done.add(end.task)
-            worker.ends = [end for end in worker.ends if end.number > through]
+            worker.ends = [end for end in worker.ends if end.sequence_number > through]
         if not is_answered:
             self.scheduler.note_failure_to_answer(worker_id)
             return
         rows = tuple(
-            RunningRow(task, run, checkpoint, 10, 1.0)
+            ReportedRun(task, run, checkpoint, 10, 1.0)
             for (task, run), checkpoint in worker.running.items()
         )
         report = WorkerReport(worker.born_ms, 0, rows, tuple(worker.ends))
@@ -217,13 +221,15 @@
             if epoch != self.epoch:
                 return
             if is_answered:
-                self.send(self.scheduler.note_start(order, outcome))
+                self.send(self.scheduler.note_start_outcome(order, outcome))
             else:
-                self.send(self.scheduler.note_start(order, StartOutcome.UNKNOWN))
+                self.send(
+                    self.scheduler.note_start_outcome(order, StartOutcome.UNKNOWN)
+                )
         elif isinstance(order, StopRun):
             self.execute_stop(epoch, order)
             if epoch == self.epoch and is_answered:
-                self.scheduler.note_stopped(order)
+                self.scheduler.note_stop_acknowledged(order)
             elif epoch == self.epoch:
                 self.pending.append(sent)
 
@@ -241,7 +247,7 @@
         self.pending.remove(sent)
         assert isinstance(order, StartRun)
         self.unanswered.append(sent)
-        self.send(self.scheduler.note_start(order, StartOutcome.UNKNOWN))
+        self.send(self.scheduler.note_start_outcome(order, StartOutcome.UNKNOWN))
 
     def carry_out_late(self, index: int) -> None:
         """Carry out a start whose sender has stopped waiting."""
@@ -308,7 +314,7 @@
             assert isinstance(sent.order, StartRun)
             if sent.epoch == self.epoch:
                 unknown = StartOutcome.UNKNOWN
-                self.send(self.scheduler.note_start(sent.order, unknown))
+                self.send(self.scheduler.note_start_outcome(sent.order, unknown))
         born_ms = worker.born_ms + 1
         self.workers[worker_id] = ModelWorker(worker_id, worker.capacity, born_ms)
         self.unanswered = [
@@ -320,9 +326,9 @@
     def void_ends(self, worker: ModelWorker) -> None:
         """Let ends that nobody acknowledged in time bind nobody."""
         for end in worker.ends:
-            if end.number in worker.void:
+            if end.sequence_number in worker.void:
                 continue
-            worker.void.add(end.number)
+            worker.void.add(end.sequence_number)
             if end.kind is EndKind.FAILED:
                 self.failed[end.task] -= 1
 
