--- a/src/fuchsiadale/decision/workflow/__init__.py
+++ b/src/fuchsiadale/decision/workflow/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about jobs of dependent steps: queueing, refusing, placing, recovery."""
+"""Schedules jobs of dependent steps: queueing, rejection, placement and recovery."""
--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -1,4 +1,4 @@
-"""State of a cell that every decision reads, and the orders it gives."""
+"""State of a cell that the scheduler's decisions share, and its pending orders."""
 
 from __future__ import annotations
 
@@ -23,19 +23,44 @@
 from fuchsiadale.decision.workflow.names import StepName
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
-FORECAST_S = 0.2
-"""Seconds for which a forecast is used; durations and pools change slowly."""
+FORECAST_TTL_S = 0.2
+"""Seconds for which a forecast is reused; durations and pools change slowly."""
 
 
 class CellState:
-    """Jobs, workers and accounts of a cell.
+    """Jobs, workers, resource usage and pending orders of a cell.
 
     Parameters
     ----------
     clock : Clock
-        The loop's clock.
+        The event loop's clock.
     epoch : int
-        The owner's fencing token.
+        The owner's epoch, which is the fencing token of its orders.
+
+    Attributes
+    ----------
+    configuration : CellConfiguration
+        The current configuration.
+    jobs : dict of str to Job
+        Jobs that have not expired, by id.
+    workers : dict of str to TrackedWorker
+        Known workers, by id.
+    active_steps : dict of StepName to Step
+        Steps that are due and not done, and whose predecessors are done.
+    usage : WorkspaceUsage
+        Resources that each workspace uses.
+    durations : Durations
+        Estimates of task durations, learned from earlier runs.
+    unrecorded_jobs : set of str
+        Ids of the jobs whose progress has to be recorded.
+    retired_workers : set of str
+        Ids of removed workers that the store still lists.
+    expired_jobs : dict of str to Job
+        Expired jobs that the store still lists, by id.
+    decisions : DecisionLog
+        Decisions to log.
+    pending_advice_requests : int
+        Number of requests to the advice service that are not answered.
     """
 
     def __init__(self, clock: Clock, epoch: int) -> None:
@@ -52,32 +77,32 @@
         self.expired_jobs: dict[str, Job] = {}
         self.decisions = DecisionLog()
         self.pending_advice_requests = 0
-        self._rates = SubmissionRateLimiter({})
+        self._rate_limiter = SubmissionRateLimiter({})
         self._orders: list[Order] = []
         self._forecast: Forecast | None = None
-        self._foretold_s = 0.0
+        self._forecast_made_s = 0.0
 
     def apply_configuration(self, configuration: CellConfiguration) -> None:
-        """Work under a newer configuration."""
+        """Replace the configuration if the given one is newer."""
         if configuration.version > self.configuration.version:
             self.configuration = configuration
             self._forecast = None
 
     def queue_of(self, job: Job) -> Queue | None:
-        """Return the queue of a job as it is configured now."""
+        """Return the queue of a job, or None if it is no longer configured."""
         return self.configuration.queue(job.record.queue)
 
     def limit_of(self, workspace: str) -> Resources:
-        """Return what a workspace may have running."""
+        """Return the resources that a workspace may use at once."""
         configured = self.configuration.workspace(workspace)
         return NO_LIMIT if configured is None else configured.limit
 
     def forecast(self) -> Forecast:
-        """Return what can be foretold, as it was known a moment ago at most."""
+        """Return a forecast of job durations, at most `FORECAST_TTL_S` seconds old."""
         now_s = self.clock.now()
-        if self._forecast is None or now_s - self._foretold_s > FORECAST_S:
+        if self._forecast is None or now_s - self._forecast_made_s > FORECAST_TTL_S:
             self._forecast = self._make_forecast()
-            self._foretold_s = now_s
+            self._forecast_made_s = now_s
         return self._forecast
 
     def _make_forecast(self) -> Forecast:
@@ -88,19 +113,19 @@
         return Forecast(self.durations, workers, self.limit_of)
 
     def issue_order(self, order: Order) -> None:
-        """Give an order."""
+        """Append an order to the pending orders."""
         if isinstance(order, RequestAdvice):
             self.pending_advice_requests += 1
         self._orders.append(order)
 
     def pop_orders(self) -> list[Order]:
-        """Return the orders given since the last call."""
+        """Return and clear the pending orders."""
         orders = self._orders
         self._orders = []
         return orders
 
     def preempt(self, run: Run) -> None:
-        """Stop a run to make room for more urgent work."""
+        """Stop a run to free its resources for more urgent work."""
         self._stop_run(run, "preempted")
 
     def _stop_run(self, run: Run, reason: str) -> None:
--- a/src/fuchsiadale/decision/workflow/configuration.py
+++ b/src/fuchsiadale/decision/workflow/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a cell works under."""
+"""Configuration of a cell: its queues and workspaces."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 
 @frozen
 class AdviceTiming:
-    """What asking which workers may run a step costs.
+    """Durations of requests to the advice service, and of its tickets.
+
+    The service answers which workers may run a step, and issues tickets for these.
 
     Attributes
     ----------
     base_s : float
-        Time that every call takes, in seconds.
+        Duration of a request without workers, in seconds.
     per_worker_s : float
-        Further time for each worker named, in seconds.
+        Additional duration for each worker in the request, in seconds.
     valid_s : float
-        How long a ticket is accepted, in seconds.
+        Seconds for which a ticket is valid.
     """
 
     base_s: float
@@ -26,36 +28,36 @@
     valid_s: float
 
     def call_duration_s(self, workers: int) -> float:
-        """Return the time that a call naming `workers` takes, in seconds."""
+        """Return the duration of a request about `workers` workers, in seconds."""
         return self.base_s + workers * self.per_worker_s
 
 
 @frozen
 class Queue:
-    """A queue: where jobs of one kind enter.
+    """A queue, to which callers submit jobs of one kind.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the queue.
     host : str
-        The virtual host under which callers reach it.
+        Virtual host that serves the queue.
     path_prefix : str
-        What the paths of its calls begin with.
+        Prefix of the paths of the queue's calls.
     pool : str
-        The pool whose workers run its tasks.
+        Pool whose workers run the queue's tasks.
     priority : int
-        0 comes first.
+        Priority of the queue; 0 is the most urgent.
     max_attempts : int
-        Failed runs of a task after which its job has failed.
+        Number of failed runs of a task, or of a gang, that fails the job.
     stretch : float
-        Objective for a job's duration, as a multiple of its longest chain of work.
+        Factor of a job's critical path in the objective for its duration.
     slack_s : float
-        Seconds added to the objective.
+        Seconds added to that product.
     is_public : bool
-        Whether calls need no key.
+        Whether callers need no API key.
     advice : AdviceTiming or None
-        Set if only some workers may run a step, and tickets say which.
+        Set if a step may run only on workers for which it has a ticket.
     """
 
     name: str
@@ -72,7 +74,19 @@
 
 @frozen
 class Workspace:
-    """A workspace: who submits, with which keys, weight and limit."""
+    """A workspace, on whose behalf callers submit jobs.
+
+    Attributes
+    ----------
+    name : str
+        Name of the workspace.
+    keys : tuple of str
+        API keys that authenticate the workspace.
+    weight : float
+        Submissions per second that are within the workspace's rate.
+    limit : Resources
+        Resources that the workspace may use at once, over all pools.
+    """
 
     name: str
     keys: tuple[str, ...] = ()
@@ -82,51 +96,53 @@
 
 @frozen
 class CellConfiguration:
-    """One version of the configuration.
+    """A version of the configuration.
 
     Attributes
     ----------
     version : int
-        Grows with every change.
+        Number that rises with every change.
     queues : tuple of Queue
-        Every queue.
+        All queues of the cell.
     workspaces : tuple of Workspace
-        Every workspace.
+        All workspaces of the cell.
     """
 
     version: int
     queues: tuple[Queue, ...] = ()
     workspaces: tuple[Workspace, ...] = ()
-    _by_queue: dict[str, Queue] = field(init=False, repr=False, eq=False)
-    _by_workspace: dict[str, Workspace] = field(init=False, repr=False, eq=False)
-    _by_key: dict[str, Workspace] = field(init=False, repr=False, eq=False)
+    _queues_by_name: dict[str, Queue] = field(init=False, repr=False, eq=False)
+    _workspaces_by_name: dict[str, Workspace] = field(init=False, repr=False, eq=False)
+    _workspaces_by_key: dict[str, Workspace] = field(init=False, repr=False, eq=False)
 
-    @_by_queue.default
+    @_queues_by_name.default
     def _index_queues(self) -> dict[str, Queue]:
         return {queue.name: queue for queue in self.queues}
 
-    @_by_workspace.default
+    @_workspaces_by_name.default
     def _index_workspaces(self) -> dict[str, Workspace]:
         return {workspace.name: workspace for workspace in self.workspaces}
 
-    @_by_key.default
+    @_workspaces_by_key.default
     def _index_keys(self) -> dict[str, Workspace]:
-        return {key: item for item in self.workspaces for key in item.keys}
+        return {
+            key: workspace for workspace in self.workspaces for key in workspace.keys
+        }
 
     def queue(self, name: str) -> Queue | None:
-        """Return a queue by its name."""
-        return self._by_queue.get(name)
+        """Return the queue with a name, or None if there is none."""
+        return self._queues_by_name.get(name)
 
     def workspace(self, name: str) -> Workspace | None:
-        """Return a workspace by its name."""
-        return self._by_workspace.get(name)
+        """Return the workspace with a name, or None if there is none."""
+        return self._workspaces_by_name.get(name)
 
     def find_workspace_by_key(self, key: str) -> Workspace | None:
-        """Return the workspace that a key belongs to."""
-        return self._by_key.get(key)
+        """Return the workspace that an API key belongs to, or None if there is none."""
+        return self._workspaces_by_key.get(key)
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue of the longest prefix that a path begins with."""
+        """Return the queue on a host with the longest matching path prefix, or None."""
         matching = [
             queue
             for queue in self.queues
--- a/src/fuchsiadale/decision/workflow/decisions.py
+++ b/src/fuchsiadale/decision/workflow/decisions.py
@@ -1,4 +1,4 @@
-"""A bounded record of decisions, for the log."""
+"""Bounded buffer of scheduling decisions that wait to be logged."""
 
 from __future__ import annotations
 
@@ -7,12 +7,22 @@
 from attrs import frozen
 
 MAX_DECISIONS = 2_000
-"""Decisions kept until the log takes them; about a second of a busy owner."""
+"""Maximum number of buffered decisions; a busy owner makes as many in a second."""
 
 
 @frozen
 class Decision:
-    """One decision, with the inputs that led to it."""
+    """A decision, with the inputs that led to it.
+
+    Attributes
+    ----------
+    kind : str
+        Event name of the log line.
+    job_id : str
+        Id of the job that the decision concerns; empty for none.
+    inputs : dict of str to object
+        Further fields of the log line.
+    """
 
     kind: str
     job_id: str
@@ -20,21 +30,21 @@
 
 
 class DecisionLog:
-    """Keeps decisions until they are taken; counts those it had to drop."""
+    """Buffers decisions until they are logged, and counts those that it drops."""
 
     def __init__(self) -> None:
         self._decisions: deque[Decision] = deque()
         self._dropped = 0
 
     def add(self, decision: Decision) -> None:
-        """Keep a decision, or count it if there is no room."""
+        """Buffer a decision, or count it as dropped if the buffer is full."""
         if len(self._decisions) >= MAX_DECISIONS:
             self._dropped += 1
             return
         self._decisions.append(decision)
 
     def pop_all(self) -> tuple[list[Decision], int]:
-        """Return the decisions since the last call, and how many were dropped."""
+        """Return the buffered decisions and the number of dropped ones; reset both."""
         decisions = list(self._decisions)
         dropped = self._dropped
         self._decisions.clear()
--- a/src/fuchsiadale/decision/workflow/job_tracker.py
+++ b/src/fuchsiadale/decision/workflow/job_tracker.py
@@ -1,4 +1,4 @@
-"""Takes jobs in, opens their steps and ends them."""
+"""Adds jobs, activates their steps and finishes them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class JobTracker(CellState):
-    """Keeps the jobs of a cell."""
+    """Tracks the jobs of a cell from their acceptance until they expire."""
 
     def accept(self, record: JobRecord, now_unix_s: float) -> None:
-        """Take an accepted job in; a repeat changes nothing."""
+        """Add an accepted job; a job that is already known stays unchanged."""
         if record.job_id in self.jobs:
             return
         job = make_job(record)
@@ -42,7 +42,7 @@
     def recover(
         self, record: JobRecord, progress: JobProgress | None, now_unix_s: float
     ) -> None:
-        """Take a job in that an earlier owner may have begun."""
+        """Add a stored job that an earlier owner may have started."""
         job = make_job(record)
         if progress is not None:
             restore_progress(job, progress)
@@ -53,7 +53,7 @@
             self._activate_ready_steps(job, now_unix_s)
 
     def cancel(self, job_id: str) -> None:
-        """End a job on its caller's behalf."""
+        """Cancel a job at its caller's request."""
         job = self.jobs.get(job_id)
         if job is None or job.is_cancelled:
             return
@@ -62,12 +62,15 @@
             self._finish_job(job, JobState.CANCELLED)
 
     def expire_jobs(self, retention_s: float) -> None:
-        """Forget jobs whose final state was recorded some time ago.
+        """Remove jobs that ended longer ago than the retention time.
+
+        A job stays until its final state is recorded and none of its runs may be
+        present on a worker.
 
         Parameters
         ----------
         retention_s : float
-            Seconds for which callers can ask for the state of an ended job.
+            Seconds after a job's end in which callers can query its state.
         """
         now = self.clock.now()
         expired = [
@@ -83,7 +86,7 @@
             self.expired_jobs[job.record.job_id] = job
 
     def count_pending(self) -> dict[str, int]:
-        """Return how many accepted jobs of each queue have started nothing."""
+        """Return the number of accepted jobs without a started task, by queue."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if job.state is JobState.QUEUED:
@@ -92,7 +95,7 @@
         return counts
 
     def activate_due_steps(self, now_unix_s: float) -> None:
-        """Make the occurrences ready that have become due."""
+        """Activate steps of scheduled jobs whose occurrences have become due."""
         for job in self.jobs.values():
             if job.record.specification.schedule and not job.state.is_final:
                 self._activate_ready_steps(job, now_unix_s)
@@ -105,7 +108,9 @@
         job.arrived_s = now - age_s
         if workspace is not None:
             weight = workspace.weight
-            job.exceeds_rate = self._rates.exceeds_rate(record.workspace, weight, now)
+            job.exceeds_rate = self._rate_limiter.exceeds_rate(
+                record.workspace, weight, now
+            )
         self.jobs[record.job_id] = job
 
     def _time_until_due_s(self, job: Job) -> float:
--- a/src/fuchsiadale/decision/workflow/jobs.py
+++ b/src/fuchsiadale/decision/workflow/jobs.py
@@ -12,7 +12,7 @@
 
 
 class JobState(Enum):
-    """What a caller is told of a job."""
+    """State of a job as reported to its caller."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -22,7 +22,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the state never changes again."""
+        """Whether the job has ended, so that its state no longer changes."""
         return self in _FINAL
 
 
@@ -30,7 +30,19 @@
 
 
 class RunState(Enum):
-    """What is known of a run."""
+    """State of a run as far as the scheduler knows it.
+
+    Attributes
+    ----------
+    STARTING
+        The start order was issued and has no known outcome yet.
+    RUNNING
+        The worker confirmed the run, or an earlier owner recorded it.
+    UNCONFIRMED
+        The outcome of the start order is unknown, so a stop was ordered.
+    STOPPING
+        A stop was ordered.
+    """
 
     STARTING = "starting"
     RUNNING = "running"
@@ -40,34 +52,37 @@
 
 @define(eq=False)
 class Run:
-    """One run of a task on a worker, from the order to start until its end.
+    """One run of a task on a worker, from the start order until its end.
+
+    Times are on the event loop's clock.
 
     Attributes
     ----------
     task : Task
-        Its task.
+        The task that is run.
     worker_id : str
-        Where it runs.
+        Id of the worker that runs the task.
     number : int
-        Its number.
+        Number of the run; a later run of the task has a higher one.
     state : RunState
-        What is known of it.
+        State of the run as far as the scheduler knows it.
     started_s : float
-        When the order was given, on the loop's clock.
+        When the start order was issued.
     confirmed_s : float or None
-        When the worker confirmed it, on the loop's clock.
+        When the worker confirmed the run; None if it has not.
     stop_acknowledged_s : float or None
-        When the worker acknowledged the order to stop it, on the loop's clock.
+        When the worker acknowledged the order to stop the run; None if it has not.
     progress_percent : int
-        The last that was reported.
+        Progress in the worker's last report.
     last_progress_s : float
-        When the progress or the checkpoint last changed, on the loop's clock.
+        When the reported progress or checkpoint last changed.
     pace_percent : int
-        The share of its speed that it was last told to work at.
+        Percentage of full speed that the worker was last ordered to run it at.
     load : float or None
-        The last load that was reported.
+        Load in the worker's last report; None if it reported none.
     may_have_resumed : bool
-        Whether it is not known to have begun at the beginning.
+        Whether the run may have started from a checkpoint, so that its duration
+        may not cover the whole task.
     """
 
     task: Task
@@ -86,22 +101,49 @@
 
 @frozen
 class FailureCount:
-    """How often runs have failed, and the number of the last that did.
+    """Number of failed runs, and the number of the last run counted.
 
-    An end may be listed again after it was recorded; its number tells.
+    A worker may report an end again after it was recorded; the number of the last
+    run counted keeps that end from being counted twice.
     """
 
     count: int = 0
     last_run: int = 0
 
-    def with_failure(self, run: int) -> FailureCount:
-        """Return the count after a run has failed."""
-        return FailureCount(self.count + 1, run) if run > self.last_run else self
+    def with_failure(self, run_number: int) -> FailureCount:
+        """Return the count with a failed run added, unless it was already counted."""
+        return (
+            FailureCount(self.count + 1, run_number)
+            if run_number > self.last_run
+            else self
+        )
 
 
 @define(eq=False)
 class Task:
-    """One task of a step."""
+    """One task of a step.
+
+    Attributes
+    ----------
+    step : Step
+        The step that the task belongs to.
+    index : int
+        Position of the task in its step, counted from 0.
+    name : TaskName
+        Name of the task.
+    is_done : bool
+        Whether the task has completed.
+    failures : FailureCount
+        Failed runs of the task.
+    last_run : int
+        Highest number of a run of the task; 0 if it never ran.
+    checkpoint : str
+        Last checkpoint of the task; empty if it has none.
+    runs : list of Run
+        Runs that may be present on a worker.
+    failed_on : set of str
+        Ids of the workers on which the task failed, stalled or was refused.
+    """
 
     step: Step
     index: int
@@ -115,32 +157,43 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the task needs a run and has none."""
+        """Whether the task is neither completed nor running."""
         return not self.is_done and not self.runs
 
 
 @define(eq=False)
 class Step:
-    """One occurrence of a step.
+    """One occurrence of a step of a job.
 
     Attributes
     ----------
+    job : Job
+        The job that the step belongs to.
+    name : StepName
+        Name of the occurrence of the step.
+    specification : StepSpecification
+        The step as submitted.
+    tasks : list of Task
+        Tasks of the step, by index.
     tickets : dict of str to Ticket
-        Leave to run on workers, by worker.
+        Permissions to run the step on a worker, by worker id.
     advice_by_worker : dict of str to bool
-        What advice said of each worker asked about; it does not change.
+        Whether the advice service permits the step on a worker, by the id of each
+        worker that it was asked about; its answer for a worker never changes.
     is_awaiting_advice : bool
-        Whether advice was asked for and has not answered.
+        Whether a request to the advice service is outstanding.
     next_advice_request_s : float
-        Earliest time of the next call for advice, on the loop's clock.
+        Earliest time of the next request for advice, on the event loop's clock.
     waiting_tasks : dict of int to Task
-        Tasks that need a run and have none.
+        Tasks that are neither completed nor running, by index.
     gang_failures : FailureCount
-        Runs of the gang that failed.
+        Failed runs of the whole gang.
+    done_count : int
+        Number of completed tasks.
     measured_runs : int
-        Whole runs of its tasks that ended as done.
+        Number of completed runs whose duration covers the whole task.
     measured_runs_total_s : float
-        How long these took together, in seconds.
+        Sum of the durations of these runs, in seconds.
     """
 
     job: Job
@@ -159,31 +212,31 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether every task ended as done."""
+        """Whether every task has completed."""
         return self.done_count == len(self.tasks)
 
     def has_valid_ticket(self, worker_id: str, until_s: float) -> bool:
-        """Tell whether a ticket for a worker is still valid at a time."""
+        """Return whether the step has a ticket for a worker that is valid at a time."""
         ticket = self.tickets.get(worker_id)
         return ticket is not None and ticket.expires_s > until_s
 
 
 @frozen
 class JobProgress:
-    """What is recorded of a job's progress.
+    """A job's progress as recorded in the store.
 
     Attributes
     ----------
     state : JobState
-        Its state; only final states are binding.
+        State of the job; a state that is not final may be outdated.
     done : dict of str to list of int
-        Indices of tasks that ended as done, by step.
+        Indices of the completed tasks, by step name.
     failures : dict of str to FailureCount
-        Failed runs, by task, or by step for a gang.
+        Failed runs, by task name, or by step name for a gang.
     last_runs : dict of str to int
-        The highest number of a run that ended, by task.
+        Highest number of a run, by name of each task that is not completed.
     checkpoints : dict of str to str
-        The last checkpoint, by task.
+        Last checkpoint, by task name.
     """
 
     state: JobState
@@ -200,21 +253,23 @@
     Attributes
     ----------
     record : JobRecord
-        What is stored of its acceptance.
+        The job as stored when it was accepted.
     state : JobState
-        What callers are told, once it is recorded.
+        Current state of the job.
     recorded_state : JobState
-        The last state that is recorded.
+        Last state of the job that was recorded in the store.
     arrived_s : float
-        When it was accepted, on the loop's clock.
+        When the job was accepted, on the event loop's clock.
     done_tasks : int
-        Its tasks that ended as done, over all occurrences.
+        Number of completed tasks, over all occurrences.
     exceeds_rate : bool
-        Whether its workspace sent it beyond its rate.
+        Whether the job was submitted above its workspace's submission rate.
     is_cancelled : bool
-        Whether it was cancelled.
+        Whether the job was cancelled.
     ended_s : float or None
-        When it reached a final state, on the loop's clock.
+        When the job reached a final state, on the event loop's clock.
+    steps : dict of (int, int) to Step
+        Steps of the job, by occurrence and position in the job.
     """
 
     record: JobRecord
@@ -229,13 +284,13 @@
 
     @property
     def reported_state(self) -> JobState:
-        """The state to tell callers: a final one only after it is recorded."""
+        """State to report to callers; a final state only once it is recorded."""
         if self.state.is_final and not self.recorded_state.is_final:
             return JobState.RUNNING
         return self.state
 
     def occurrence_start_s(self, occurrence: int) -> float:
-        """Return when an occurrence was due to begin, on the loop's clock."""
+        """Return when an occurrence was due to start, on the event loop's clock."""
         schedule = self.record.specification.schedule
         if schedule is None:
             return self.arrived_s
@@ -243,12 +298,12 @@
         return self.arrived_s + max(0.0, due_in_s)
 
     def occurrence_steps(self, occurrence: int) -> list[Step]:
-        """Return the steps of one occurrence, in order."""
+        """Return the steps of an occurrence in the order of the specification."""
         count = len(self.record.specification.steps)
         return [self.steps[occurrence, index] for index in range(count)]
 
     def predecessors_are_done(self, step: Step) -> bool:
-        """Tell whether every step that a step waits for is done."""
+        """Return whether every step that a step depends on is done."""
         occurrence = step.name.occurrence
         return all(
             self.steps[occurrence, index].is_done for index in step.specification.after
@@ -260,7 +315,7 @@
 
 
 def make_job(record: JobRecord) -> Job:
-    """Return the state of a job that has just been accepted."""
+    """Return the initial state of an accepted job, with its steps and tasks."""
     job = Job(record)
     for occurrence in range(record.specification.occurrences):
         for index, specification in enumerate(record.specification.steps):
@@ -276,7 +331,7 @@
 
 
 def find_task(job: Job, name: TaskName) -> Task | None:
-    """Return a task of a job by its name, or None if it has no such task."""
+    """Return the task with a name, or None if the job has no such task."""
     step = job.steps.get((name.step.occurrence, name.step.step))
     if step is None or name.index >= len(step.tasks):
         return None
@@ -284,7 +339,7 @@
 
 
 def collect_progress(job: Job) -> JobProgress:
-    """Return what to record of a job."""
+    """Return the progress of a job to record in the store."""
     done: dict[str, list[int]] = {}
     failures: dict[str, FailureCount] = {}
     last_runs: dict[str, int] = {}
@@ -309,7 +364,7 @@
 
 
 def restore_progress(job: Job, progress: JobProgress) -> None:
-    """Bring a job to what is recorded of it."""
+    """Set the state of a new job from its recorded progress."""
     job.state = progress.state
     job.recorded_state = progress.state
     if progress.state.is_final:
@@ -317,14 +372,14 @@
             step.waiting_tasks.clear()
         return
     for step in job.steps.values():
-        name = str(step.name)
-        for index in progress.done.get(name, ()):
+        step_name = str(step.name)
+        for index in progress.done.get(step_name, ()):
             step.tasks[index].is_done = True
             step.waiting_tasks.pop(index, None)
             step.done_count += 1
-        step.gang_failures = progress.failures.get(name, FailureCount())
+        step.gang_failures = progress.failures.get(step_name, FailureCount())
         for task in step.tasks:
-            text = str(task.name)
-            task.failures = progress.failures.get(text, FailureCount())
-            task.last_run = progress.last_runs.get(text, 0)
-            task.checkpoint = progress.checkpoints.get(text, "")
+            task_name = str(task.name)
+            task.failures = progress.failures.get(task_name, FailureCount())
+            task.last_run = progress.last_runs.get(task_name, 0)
+            task.checkpoint = progress.checkpoints.get(task_name, "")
--- a/src/fuchsiadale/decision/workflow/limits.py
+++ b/src/fuchsiadale/decision/workflow/limits.py
@@ -1,4 +1,4 @@
-"""What workspaces have running, and how fast they may submit."""
+"""Resource usage and submission rates of workspaces."""
 
 from __future__ import annotations
 
@@ -7,53 +7,54 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 
 BURST_S = 3.0
-"""Seconds of its rate that a workspace may submit at once; a burst's rise."""
+"""Capacity of a token bucket in seconds of its rate; a burst peaks in that time."""
 
 
 class WorkspaceUsage:
-    """Counts what each workspace may have running, over all pools."""
+    """Tracks the resources that each workspace may be using, over all pools."""
 
     def __init__(self) -> None:
         self._used: dict[str, Resources] = {}
 
     def used(self, workspace: str) -> Resources:
-        """Return what a workspace may have running."""
+        """Return the resources that a workspace may be using."""
         return self._used.get(workspace, NO_RESOURCES)
 
     def add(self, workspace: str, amount: Resources) -> None:
-        """Count a run."""
+        """Add the resources of a run to a workspace's usage."""
         self._used[workspace] = self.used(workspace) + amount
 
     def remove(self, workspace: str, amount: Resources) -> None:
-        """Take a run that has surely ended out."""
+        """Subtract the resources of a run that has certainly ended."""
         self._used[workspace] = self.used(workspace) - amount
 
     def allows(self, workspace: str, amount: Resources, limit: Resources) -> bool:
-        """Tell whether a workspace may run `amount` more under `limit`."""
+        """Return whether `amount` more keeps a workspace's usage within `limit`."""
         return (self.used(workspace) + amount).fits_in(limit)
 
 
 @define
-class _Bucket:
+class _TokenBucket:
     tokens: float
     updated_s: float
 
 
 @frozen
 class SubmissionRateLimiter:
-    """Tells which submissions exceed their workspace's rate.
+    """Detects submissions above their workspace's rate, with a token bucket each.
 
-    The rate is a token bucket: `weight` a second, with a burst of `BURST_S`.
+    A bucket gains `weight` tokens per second and holds those of `BURST_S` seconds, but
+    at least one.
     """
 
-    _buckets: dict[str, _Bucket]
+    _buckets: dict[str, _TokenBucket]
 
     def exceeds_rate(self, workspace: str, weight: float, now_s: float) -> bool:
-        """Count a submission and tell whether it exceeds the rate."""
+        """Count a submission and return whether it exceeds the workspace's rate."""
         burst = max(weight * BURST_S, 1.0)
         bucket = self._buckets.get(workspace)
         if bucket is None:
-            bucket = self._buckets[workspace] = _Bucket(burst, now_s)
+            bucket = self._buckets[workspace] = _TokenBucket(burst, now_s)
         elapsed_s = now_s - bucket.updated_s
         bucket.tokens = min(burst, bucket.tokens + elapsed_s * weight)
         bucket.updated_s = now_s
--- a/src/fuchsiadale/decision/workflow/messages.py
+++ b/src/fuchsiadale/decision/workflow/messages.py
@@ -1,4 +1,4 @@
-"""What the scheduler orders, and what it is told."""
+"""Orders that the scheduler issues, and reports that it receives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen
 class StartRun:
-    """Start a run of a task on a worker."""
+    """Order to start a run of a task on a worker."""
 
     worker_id: str
     task: TaskName
@@ -24,7 +24,7 @@
 
 @frozen
 class StopRun:
-    """Stop a run on a worker."""
+    """Order to stop a run on a worker."""
 
     worker_id: str
     task: TaskName
@@ -34,7 +34,7 @@
 
 @frozen
 class PaceRun:
-    """Let a run work at a share of its speed."""
+    """Order to limit a run to a percentage of its full speed."""
 
     worker_id: str
     task: TaskName
@@ -44,7 +44,17 @@
 
 @frozen
 class RequestAdvice:
-    """Ask which of some workers may run a step."""
+    """Order to ask the advice service which workers may run a step.
+
+    Attributes
+    ----------
+    step : StepName
+        The step.
+    worker_ids : tuple of str
+        Ids of the workers to ask about.
+    expected_duration_s : float
+        Expected duration of the request, in seconds.
+    """
 
     step: StepName
     worker_ids: tuple[str, ...]
@@ -55,7 +65,31 @@
 
 
 class StartOutcome(Enum):
-    """What became of an order to start."""
+    """Outcome of a start order.
+
+    Attributes
+    ----------
+    STARTED
+        The run has started.
+    FENCED
+        The worker has seen a higher fencing token.
+    STALE_RUN
+        The worker has already ended a run of the task with this or a higher number.
+    EXPIRED
+        The order arrived after the end of its lease.
+    NO_ROOM
+        The worker lacks free resources.
+    TICKET_REFUSED
+        The worker does not accept the ticket.
+    UNHEALTHY
+        The worker is unreachable, or refuses new runs for now.
+    OTHER_BOOT
+        Another worker instance answers at the address.
+    INVALID
+        The worker rejects the order as invalid.
+    UNKNOWN
+        No answer arrived, so the run may have started.
+    """
 
     STARTED = "started"
     FENCED = "fenced"
@@ -70,7 +104,25 @@
 
 
 class EndKind(Enum):
-    """How a run ended."""
+    """How a run ended.
+
+    Attributes
+    ----------
+    DONE
+        The task has completed.
+    FAILED
+        The task has failed.
+    STOPPED
+        The run was stopped by an order.
+    LEASE_LAPSED
+        The worker killed the run because its lease was not renewed.
+    GANG_BROKEN
+        The run ended because its gang was broken up.
+    GANG_INCOMPLETE
+        The run ended because its gang was incomplete.
+    VANISHED
+        The worker no longer reports the run, or its lease has certainly lapsed.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -82,7 +134,7 @@
 
 
 class WorkerState(Enum):
-    """What a worker says of itself."""
+    """State of a worker, as its registration gives it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -95,23 +147,23 @@
     Attributes
     ----------
     worker_id : str
-        Its id; a restart may keep it.
+        Id of the worker; a restarted worker may keep it.
     pool : str
-        The service that it serves.
+        Pool that the worker belongs to.
     address : str
-        ``ip:port`` of its interface.
+        ``ip:port`` of the worker's interface.
     zone : str
-        Its failure domain.
+        Failure domain of the worker.
     state : WorkerState
-        Whether it takes new tasks.
+        Whether the worker accepts new tasks.
     capacity : Resources
-        What it has.
+        Total resources of the worker.
     labels : tuple of str
-        Its kind and its rack.
+        Kind of the worker, and its rack as the last label.
     started_ms : int
-        Start of this life, in Unix milliseconds; 0 if not told.
+        Start of the worker's incarnation, in Unix milliseconds; 0 if not given.
     remaining_s : float or None
-        Least time until a draining worker leaves, in seconds.
+        Minimum time until a draining worker leaves, in seconds; None if not given.
     """
 
     worker_id: str
@@ -127,21 +179,22 @@
 
 @frozen
 class ReportedRun:
-    """One run that a worker reports as present.
+    """A run that a worker reports as present.
 
     Attributes
     ----------
     task : TaskName
-        Its task.
+        Name of the task.
     run : int
-        Its number.
+        Number of the run.
     checkpoint : str
-        Its last checkpoint; empty if none.
+        Last checkpoint of the run; empty if it has none.
     progress_percent : int
-        How much it works, 100 for at full speed.
+        Progress of a task that ends by itself, else the speed of the run, where 100
+        is full speed.
     load : float or None
-        Tail latency in ms of a serving task; processors in use of any other, in
-        thousandths of a core.
+        Tail latency of a serving task in milliseconds; CPU usage of any other task in
+        thousandths of a core; None if not reported.
     """
 
     task: TaskName
@@ -153,20 +206,20 @@
 
 @frozen
 class ReportedEnd:
-    """One run that a worker reports as ended.
+    """A run that a worker reports as ended.
 
     Attributes
     ----------
-    number : int
-        Rises within a life of the worker.
+    sequence_number : int
+        Number of the end, which rises within an incarnation of the worker.
     task : TaskName
-        Its task.
+        Name of the task.
     run : int
-        Its number.
+        Number of the run.
     kind : EndKind
-        How it ended.
+        How the run ended.
     checkpoint : str
-        Its last checkpoint; empty if none.
+        Last checkpoint of the run; empty if it has none.
     """
 
     sequence_number: int
@@ -178,18 +231,18 @@
 
 @frozen
 class WorkerReport:
-    """What a worker answered to a look.
+    """A worker's answer when it is polled for its runs.
 
     Attributes
     ----------
     started_ms : int
-        Start of the life that answered, in Unix milliseconds; 0 if not told.
+        Start of the incarnation that answered, in Unix milliseconds; 0 if not given.
     clock_ms : int
-        The worker's clock, in ms.
+        Reading of the worker's clock, in milliseconds.
     running : tuple of ReportedRun
-        Everything present.
+        All runs that are present on the worker.
     ended : tuple of ReportedEnd
-        Ends that are not yet acknowledged.
+        Ends that the worker still lists because they were not acknowledged.
     """
 
     started_ms: int
@@ -200,7 +253,15 @@
 
 @frozen
 class Ticket:
-    """Leave to run a step on a worker until a time of the loop's clock."""
+    """Permission to run a step on a worker until a time on the event loop's clock.
+
+    Attributes
+    ----------
+    text : str
+        The ticket to send with a start order.
+    expires_s : float
+        When the ticket expires, on the event loop's clock.
+    """
 
     text: str
     expires_s: float
--- a/src/fuchsiadale/decision/workflow/names.py
+++ b/src/fuchsiadale/decision/workflow/names.py
@@ -1,4 +1,4 @@
-"""Names of steps and tasks, shared with workers and advisors."""
+"""Names of steps and tasks, shared with workers and the advice service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @frozen
 class StepName:
-    """One occurrence of a job's step."""
+    """Name of one occurrence of a job's step."""
 
     job_id: str
     occurrence: int
@@ -20,7 +20,7 @@
 
 @frozen
 class TaskName:
-    """One task of an occurrence of a step."""
+    """Name of one task of an occurrence of a step."""
 
     step: StepName
     index: int
@@ -31,7 +31,7 @@
 
 
 def parse_task_name(text: str) -> TaskName | None:
-    """Return the task that a text names, or None if it names none."""
+    """Parse ``job.occurrence.step.index``; return None if the text is malformed."""
     parts = text.split(".")
     if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
         return None
--- a/src/fuchsiadale/decision/workflow/run_tracker.py
+++ b/src/fuchsiadale/decision/workflow/run_tracker.py
@@ -1,4 +1,4 @@
-"""Counts runs from the order to start until their end is certain."""
+"""Tracks runs from their start order until their end is certain."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 RUN_NUMBERS_PER_EPOCH = 10_000
-"""Run numbers set aside for each owner, so that a successor's are higher."""
+"""Run numbers reserved per epoch, so that a later owner's numbers are higher."""
 
 
 class RunTracker(JobTracker):
-    """Keeps the runs of a cell in every account."""
+    """Tracks runs, and the worker and workspace resources that they use."""
 
     def restore_runs(
         self,
@@ -36,29 +36,42 @@
         runs: Iterable[tuple[TaskName, int]],
         lease_ends_s: float,
     ) -> None:
-        """Count what a former owner recorded as started on a worker."""
+        """Add the runs that a former owner recorded as started on a worker.
+
+        Parameters
+        ----------
+        worker_id : str
+            Id of the worker.
+        runs : iterable of (TaskName, int)
+            Task and number of each recorded run.
+        lease_ends_s : float
+            When the runs have certainly ended if their lease is not renewed, on the
+            event loop's clock.
+        """
         worker = self.workers[worker_id]
         now = self.clock.now()
         worker.extend_lease(lease_ends_s)
-        for name, number in runs:
+        for name, run_number in runs:
             job = self.jobs.get(name.step.job_id)
             task = find_task(job, name) if job else None
             if job is None or task is None:
                 continue
-            run = self._add_recovered_run(task, worker, number, now)
+            run = self._add_recovered_run(task, worker, run_number, now)
             if job.state.is_final or task.is_done:
                 self._stop_run(run, "not_needed")
         worker.note_recorded(worker.runs)
 
-    def place_task(self, task: Task, worker: TrackedWorker, number: int) -> None:
-        """Order a run of a task on a worker."""
+    def place_task(self, task: Task, worker: TrackedWorker, run_number: int) -> None:
+        """Issue an order to start a run of a task on a worker."""
         now = self.clock.now()
         worker_id = worker.entry.worker_id
         job = task.step.job
-        run = Run(task, worker_id, number, RunState.STARTING, now, last_progress_s=now)
+        run = Run(
+            task, worker_id, run_number, RunState.STARTING, now, last_progress_s=now
+        )
         run.may_have_resumed = bool(task.checkpoint)
         task.runs.append(run)
-        task.last_run = number
+        task.last_run = run_number
         task.step.waiting_tasks.pop(task.index, None)
         worker.add_run(run)
         self.usage.add(job.record.workspace, task.step.specification.request)
@@ -69,7 +82,7 @@
             StartRun(
                 worker_id,
                 task.name,
-                number,
+                run_number,
                 job.record.specification.payload,
                 task.checkpoint,
                 ticket.text if ticket else "",
@@ -79,17 +92,17 @@
             "task_placed",
             job.record.job_id,
             task=str(task.name),
-            run=number,
+            run=run_number,
             worker=worker_id,
         )
 
     def next_run_number(self, tasks: Iterable[Task]) -> int:
-        """Return a number for the next run, above those of every former one."""
-        floor = (self.epoch - 1) * RUN_NUMBERS_PER_EPOCH
-        return max(max(task.last_run for task in tasks), floor) + 1
+        """Return a number for the next run that is above those of all earlier runs."""
+        last_reserved = (self.epoch - 1) * RUN_NUMBERS_PER_EPOCH
+        return max(max(task.last_run for task in tasks), last_reserved) + 1
 
     def note_start_outcome(self, order: StartRun, outcome: StartOutcome) -> list[Order]:
-        """Take the outcome of an order to start."""
+        """Process the outcome of a start order and return the orders that follow."""
         worker = self.workers.get(order.worker_id)
         run = worker.runs.get((order.task, order.run)) if worker else None
         if worker is None or run is None or run.state is not RunState.STARTING:
@@ -116,31 +129,31 @@
         return self.pop_orders()
 
     def is_start_recorded(self, order: StartRun) -> bool:
-        """Tell whether a start is recorded, so that it may be sent."""
+        """Return whether a start order may be sent because its run is recorded."""
         worker = self.workers.get(order.worker_id)
         return worker is not None and worker.has_recorded(order.task, order.run)
 
     def is_start_needed(self, order: StartRun) -> bool:
-        """Tell whether a start that has not been sent is still to be sent."""
+        """Return whether an unsent start order is still needed."""
         worker = self.workers.get(order.worker_id)
         run = worker.runs.get((order.task, order.run)) if worker else None
         return run is not None and run.state is RunState.STARTING
 
     def has_ticket_expired(self, order: StartRun) -> bool:
-        """Tell whether the ticket of a start has expired."""
+        """Return whether the ticket of a start order has expired."""
         step = self.active_steps.get(order.task.step)
         if step is None or not order.ticket:
             return False
         return not step.has_valid_ticket(order.worker_id, self.clock.now())
 
     def note_stop_acknowledged(self, order: StopRun) -> None:
-        """Note that a worker acknowledged an order to stop."""
+        """Note that a worker acknowledged a stop order."""
         run = self._find_run(order)
         if run is not None:
             run.stop_acknowledged_s = self.clock.now()
 
     def may_still_run(self, order: StopRun) -> bool:
-        """Tell whether the run to stop may still be there."""
+        """Return whether the run of a stop order may still be on its worker."""
         return self._find_run(order) is not None
 
     def _find_run(self, order: StopRun) -> Run | None:
@@ -148,15 +161,15 @@
         return worker.runs.get((order.task, order.run)) if worker else None
 
     def _add_recovered_run(
-        self, task: Task, worker: TrackedWorker, number: int, now: float
+        self, task: Task, worker: TrackedWorker, run_number: int, now: float
     ) -> Run:
-        """Enter a run of an earlier owner into every account."""
+        """Add a run that an earlier owner started."""
         job = task.step.job
-        run = Run(task, worker.entry.worker_id, number, RunState.RUNNING, now, now)
+        run = Run(task, worker.entry.worker_id, run_number, RunState.RUNNING, now, now)
         run.last_progress_s = now
         run.may_have_resumed = True
         task.runs.append(run)
-        task.last_run = max(task.last_run, number)
+        task.last_run = max(task.last_run, run_number)
         task.step.waiting_tasks.pop(task.index, None)
         worker.add_run(run)
         self.usage.add(job.record.workspace, task.step.specification.request)
@@ -169,7 +182,7 @@
             self._end_run(run, EndKind.VANISHED, "")
 
     def _remove_run(self, run: Run) -> None:
-        """Take a run that has surely ended out of every account."""
+        """Remove a run that has certainly ended, and release what it used."""
         task = run.task
         worker = self.workers.get(run.worker_id)
         key = (task.name, run.number)
@@ -225,7 +238,7 @@
     def _record_run_duration(
         self, worker: TrackedWorker, step: Step, ran_s: float
     ) -> None:
-        """Learn from a whole run."""
+        """Record the duration of a completed run that covers the whole task."""
         queue, estimated_s = step.job.record.queue, step.specification.estimated_s
         worker.note_duration(ran_s, self.durations.expect_s(queue, estimated_s))
         self.durations.observe(queue, estimated_s, ran_s, 1.0 / len(step.tasks))
@@ -258,25 +271,25 @@
             if not other.is_done and job.predecessors_are_done(other):
                 self.active_steps[other.name] = other
 
-    def _count_failure(self, task: Task, number: int) -> None:
+    def _count_failure(self, task: Task, run_number: int) -> None:
         step = task.step
         job = step.job
         if step.specification.is_lasting:
             return
-        task.failures = task.failures.with_failure(number)
+        task.failures = task.failures.with_failure(run_number)
         failures = task.failures
         if step.specification.is_gang:
-            step.gang_failures = step.gang_failures.with_failure(number)
+            step.gang_failures = step.gang_failures.with_failure(run_number)
             failures = step.gang_failures
         queue = self.queue_of(job)
         if queue and failures.count >= queue.max_attempts and not job.state.is_final:
             self._finish_job(job, JobState.FAILED)
 
-    def _stop_gang_run(self, step: Step, number: int) -> None:
-        """Stop what is left of a gang's run once a member has ended."""
+    def _stop_gang_run(self, step: Step, run_number: int) -> None:
+        """Stop the remaining members of a gang's run after one has ended."""
         for task in step.tasks:
             for run in task.runs:
-                if run.number == number:
+                if run.number == run_number:
                     self._stop_run(run, "gang_broken")
 
     def _handle_refused_start(
--- a/src/fuchsiadale/decision/workflow/specification.py
+++ b/src/fuchsiadale/decision/workflow/specification.py
@@ -1,4 +1,4 @@
-"""What a caller asks for: a job of steps."""
+"""Specification of a job and its steps, as a caller submits it."""
 
 from __future__ import annotations
 
@@ -9,42 +9,44 @@
 
 @frozen
 class StepSpecification:
-    """One step: equal tasks that become ready together.
+    """A step: identical tasks that become ready together.
 
     Attributes
     ----------
     count : int
         Number of tasks.
     request : Resources
-        What each task takes.
+        Resources that each task requests.
     estimated_s : float
         The caller's rough estimate of a task's duration, in seconds.
     after : tuple of int
-        Earlier steps, counted from 0, whose tasks must all be done first.
+        Indices of earlier steps, from 0, whose tasks must all be done first.
     is_gang : bool
-        Whether the tasks work only together.
+        Whether the tasks can only run all at the same time.
     same_rack : bool
-        Whether the tasks are slow when they are spread over racks.
+        Whether the tasks are slow when they are spread over several racks.
     required_label : str
-        A label that the worker must have; empty for none.
+        Label that the worker must have; empty for none.
     preferred_rack : str
-        The rack near the data; empty for none.
+        Rack that is closest to the task's data; empty for none.
     max_per_worker : int
-        Most tasks of an occurrence of the step on one worker; 0 for no bound.
+        Maximum number of tasks of one occurrence on a worker; 0 for no limit.
     allows_copies : bool
         Whether several runs of a task may be active at once.
     is_checkpointing : bool
-        Whether a task resumes from a checkpoint.
+        Whether a task resumes from its last checkpoint.
     is_lasting : bool
         Whether the tasks run until the job is cancelled.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of one image behave alike.
     target_s : float
-        Bound on the tail of a serving task's response times, in seconds; 0 for none.
+        Target for a serving task's tail latency, in seconds; 0 for none.
     is_filler : bool
-        Whether the tasks' processors are taken from what others leave unused.
+        Whether the tasks run on CPU time that other tasks leave unused, so that no
+        CPU is reserved for them.
     disruption_budget : int or None
-        Tasks that planned actions may keep away at once; None if not set.
+        Number of tasks that planned actions may keep from running at once; None if
+        not set.
     """
 
     count: int
@@ -66,7 +68,7 @@
 
     @property
     def charged(self) -> Resources:
-        """What a task takes of a worker's room."""
+        """Resources that a task reserves on its worker; no CPU for a filler task."""
         if self.is_filler:
             return Resources(
                 memory_mb=self.request.memory_mb,
@@ -77,16 +79,16 @@
 
 @frozen
 class Schedule:
-    """When the occurrences of a job are due.
+    """Times at which the occurrences of a recurring job are due.
 
     Attributes
     ----------
     first_s : float
-        When the first is due, in Unix seconds.
+        When the first occurrence is due, in Unix seconds.
     interval_s : float
-        Seconds between two.
+        Seconds between two occurrences.
     occurrences : int
-        How many there are.
+        Number of occurrences.
     """
 
     first_s: float
@@ -100,16 +102,16 @@
 
 @frozen
 class JobSpecification:
-    """What a caller submitted.
+    """A job as its caller submitted it.
 
     Attributes
     ----------
     payload : str
-        Passed to every task.
+        Data that is passed to every task.
     steps : tuple of StepSpecification
-        The steps; each waits only for earlier ones.
+        The steps; a step depends only on earlier ones.
     schedule : Schedule or None
-        Set if the steps run several times.
+        Set if the steps run more than once.
     """
 
     payload: str
@@ -118,17 +120,17 @@
 
     @property
     def occurrences(self) -> int:
-        """How often the steps run."""
+        """Number of times that the steps run."""
         return 1 if self.schedule is None else self.schedule.occurrences
 
     @property
     def critical_path_s(self) -> float:
-        """Length of the longest chain of estimated work, in seconds."""
-        lengths: list[float] = []
+        """Estimated duration of the longest chain of dependent steps, in seconds."""
+        ends_s: list[float] = []
         for step in self.steps:
-            before = max((lengths[index] for index in step.after), default=0.0)
-            lengths.append(before + step.estimated_s)
-        return max(lengths, default=0.0)
+            start_s = max((ends_s[index] for index in step.after), default=0.0)
+            ends_s.append(start_s + step.estimated_s)
+        return max(ends_s, default=0.0)
 
 
 @frozen
@@ -138,15 +140,15 @@
     Attributes
     ----------
     job_id : str
-        The caller's id.
+        Id of the job, chosen by the caller.
     queue : str
-        The queue that took it.
+        Queue to which the job was submitted.
     workspace : str
-        Whose job it is; empty on public queues.
+        Workspace that owns the job; empty on public queues.
     accepted_s : float
-        When it was accepted, in Unix seconds.
+        When the job was accepted, in Unix seconds.
     specification : JobSpecification
-        What was asked for.
+        The job as submitted.
     """
 
     job_id: str
--- a/src/fuchsiadale/decision/workflow/tracked_worker.py
+++ b/src/fuchsiadale/decision/workflow/tracked_worker.py
@@ -1,4 +1,4 @@
-"""What each worker has, what is placed on it and how far it is trusted."""
+"""Resources, runs, reachability and reliability of a worker."""
 
 from __future__ import annotations
 
@@ -12,58 +12,75 @@
 from fuchsiadale.decision.workflow.names import TaskName
 
 FAILURE_WEIGHT = 0.3
-"""Weight of the newest outcome in a worker's failure score; about three count."""
+"""Weight of the newest outcome in a worker's failure score.
+
+The score is a moving average in which about the last three outcomes count.
+"""
 
 QUARANTINE_SCORE = 0.6
-"""Failure score from which a worker is avoided: three failed jobs in a row."""
+"""Failure score that quarantines a worker; three failed jobs in a row reach it."""
 
 QUARANTINE_S = 4.0
-"""Seconds for which a failing worker is avoided; the length of a grey failure."""
+"""Seconds for which a failing worker is quarantined; as long as a gray failure."""
 
 SLOWDOWN_WEIGHT = 0.1
-"""Weight of the newest run in a worker's slowness; evens out callers' estimates."""
+"""Weight of the newest run in a worker's slowdown; averages out wrong estimates."""
 
 MAX_RUN_SLOWDOWN = 10.0
-"""Bound on what one run adds to a worker's slowness; an estimate may be near 0."""
+"""Upper bound on the slowdown of a single run.
+
+An expected duration near 0 would otherwise give an arbitrarily large slowdown.
+"""
 
 MAX_CLOCK_DRIFT = 0.02
-"""Share by which a worker's clock may be slow, from the platform's contract."""
+"""Fraction by which a worker's clock may run slow, by the platform's contract."""
 
 RunKey = tuple[TaskName, int]
 
 
 @define(eq=False)
 class TrackedWorker:
-    """One worker: its room and what may be running there.
+    """A worker with its free resources and the runs that may be present on it.
+
+    Times in seconds are on the event loop's clock.
 
     Attributes
     ----------
     entry : WorkerEntry
-        Its registration.
+        The worker's registration.
     free : Resources
-        What is left of its capacity after everything that may be there.
-    runs : dict
-        What may be there, by task and number of the run.
+        Capacity that is not reserved by runs that may be present.
+    runs : dict of (TaskName, int) to Run
+        Runs that may be present on the worker, by task and number of the run.
     is_listed : bool
-        Whether the registration still exists.
+        Whether the worker is still registered.
     is_adopted : bool
-        Whether it has answered under the present fencing token.
+        Whether the worker has answered under the current fencing token.
     is_recorded : bool
-        Whether a successor would find it in the store.
+        Whether the worker is in the store, where a later owner would find it.
     unresponsive_since_s : float or None
-        Since when it has not answered, on the loop's clock.
+        When the worker stopped answering; None while it answers.
     earliest_departure_s : float or None
-        When it may leave, as it last said, on the loop's clock.
+        When a draining worker may leave, by its last registration; None if not known.
     lease_ends_s : float
-        When everything there has ended if nothing renews it, on the loop's clock.
+        When all runs on the worker have certainly ended if the lease is not renewed.
     started_ms : int
-        Start of the life that last answered, in Unix milliseconds.
+        Start of the worker's incarnation that last answered, in Unix milliseconds; 0
+        before its first answer.
+    last_processed_end : int
+        Sequence number of the last end of that incarnation that was processed.
+    failure_score : float
+        Moving average of run outcomes, from 0 (no failures) to 1 (only failures).
     slowdown : float
-        How long its runs take, as a multiple of what is expected, on average.
+        Moving average of the ratio of actual to expected run durations.
+    quarantined_until_s : float
+        Until when no new tasks are placed on the worker because its runs fail.
+    last_failed_job : str
+        Id of the job whose failure was last counted; empty if none.
     unknown_job_runs : int
-        Runs there of jobs that are not known; their room is not known either.
+        Number of runs of unknown jobs on the worker; their resources are unknown too.
     unknown_job_runs_since_s : float or None
-        Since when there are such runs, on the loop's clock.
+        When such runs were first reported; None if there are none.
     """
 
     entry: WorkerEntry
@@ -86,47 +103,47 @@
     _recorded_runs: dict[RunKey, None] = Factory(dict)
 
     def __attrs_post_init__(self) -> None:
-        """Begin with everything free."""
+        """Set the free resources to the whole capacity."""
         self.free = self.entry.capacity
 
     @property
     def rack(self) -> str:
-        """The last of its labels, which names its rack."""
+        """Name of the worker's rack, which is its last label; empty without labels."""
         return self.entry.labels[-1] if self.entry.labels else ""
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether nothing new may be placed on it, whatever room it has."""
+        """Whether the worker is draining or does not answer."""
         is_draining = self.entry.state is WorkerState.DRAINING
         return is_draining or self.unresponsive_since_s is not None
 
     @property
     def is_record_stale(self) -> bool:
-        """Whether the store does not say exactly what may be there."""
+        """Whether the stored list of runs differs from the runs that may be present."""
         return not self.is_recorded or self._recorded_runs.keys() != self.runs.keys()
 
     @property
     def is_record_awaited(self) -> bool:
-        """Whether something waits for the record: a use, or a start."""
+        """Whether the worker's first use or a start waits until it is recorded."""
         return not self.is_recorded or bool(
             self.runs.keys() - self._recorded_runs.keys()
         )
 
     def note_recorded(self, runs: Iterable[RunKey]) -> None:
-        """Note that the store says what may be there."""
+        """Note that the store lists these runs as possibly present on the worker."""
         self.is_recorded = True
         self._recorded_runs = dict.fromkeys(runs)
 
     def has_recorded(self, task: TaskName, run: int) -> bool:
-        """Tell whether a successor would find a run in the store."""
+        """Return whether the store lists a run, so that a later owner finds it."""
         return self.is_recorded and (task, run) in self._recorded_runs
 
     def extend_lease(self, ends_s: float) -> None:
-        """Note when everything there ends if no later order reaches it."""
+        """Move the end of the lease to a time, unless it ends later already."""
         self.lease_ends_s = max(self.lease_ends_s, ends_s)
 
     def is_usable(self, now_s: float) -> bool:
-        """Tell whether new tasks may be placed on it."""
+        """Return whether new tasks may be placed on the worker."""
         if self.quarantined_until_s > now_s:
             return False
         return (
@@ -138,17 +155,17 @@
         )
 
     def add_run(self, run: Run) -> None:
-        """Count a run against the worker's room."""
+        """Add a run and reserve its resources."""
         self.runs[run.task.name, run.number] = run
         self.free = self.free - run.task.step.specification.charged
 
     def remove_run(self, run: Run) -> None:
-        """Give the room of a run that has surely ended back."""
+        """Remove a run that has certainly ended and release its resources."""
         if self.runs.pop((run.task.name, run.number), None) is not None:
             self.free = self.free + run.task.step.specification.charged
 
     def update_entry(self, entry: WorkerEntry, now_s: float) -> None:
-        """Take a newer registration over."""
+        """Replace the registration by a newer one."""
         if entry.remaining_s is None:
             self.earliest_departure_s = None
         elif (
@@ -162,43 +179,43 @@
         self.is_listed = True
 
     def note_duration(self, ran_s: float, expected_s: float) -> None:
-        """Learn from a whole run how slow the worker is."""
+        """Update the slowdown from a run whose duration covers the whole task."""
         if expected_s > 0.0:
             ratio = min(ran_s / expected_s, MAX_RUN_SLOWDOWN)
             self.slowdown += SLOWDOWN_WEIGHT * (ratio - self.slowdown)
 
     def note_success(self) -> None:
-        """Lower the failure score after a run that ended as done."""
+        """Lower the failure score and end the quarantine after a completed run."""
         self.failure_score *= 1.0 - FAILURE_WEIGHT
         self.quarantined_until_s = 0.0
 
     def note_failure(self, job_id: str, now_s: float) -> bool:
-        """Raise the failure score; one job counts once in a row.
+        """Raise the failure score; consecutive failures of one job count once.
 
         Returns
         -------
         is_quarantined : bool
-            Whether the worker is avoided from now on.
+            Whether the worker is quarantined from now on.
         """
         if job_id == self.last_failed_job:
             return False
         self.last_failed_job = job_id
-        kept = self.failure_score * (1.0 - FAILURE_WEIGHT)
-        self.failure_score = kept + FAILURE_WEIGHT
+        decayed_score = self.failure_score * (1.0 - FAILURE_WEIGHT)
+        self.failure_score = decayed_score + FAILURE_WEIGHT
         if self.failure_score < QUARANTINE_SCORE:
             return False
         self.quarantined_until_s = now_s + QUARANTINE_S
         return True
 
     def count_step_runs(self, job_id: str, occurrence: int, step: int) -> int:
-        """Return how many runs of an occurrence of a step may be there."""
+        """Return the number of runs of a step's occurrence that may be present."""
         count = 0
         for name, _ in self.runs:
-            of_step = name.step
+            step_name = name.step
             if (
-                of_step.job_id == job_id
-                and of_step.occurrence == occurrence
-                and of_step.step == step
+                step_name.job_id == job_id
+                and step_name.occurrence == occurrence
+                and step_name.step == step
             ):
                 count += 1
         return count
