--- a/tests/test_workflow_takeover.py
+++ b/tests/test_workflow_takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner may start, and what it must wait for."""
+"""Takeover of a cell, lost workers, and starts that are not yet recorded."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
     make_step,
 )
 
-LAPSE_S = 15.0
+LEASE_LAPSE_S = 15.0
 
 
-def take_over(cell: Cell, runs: dict[str, list[tuple[TaskName, int]]]) -> None:
-    """Begin as the second owner of recorded workers."""
+def restore_workers(cell: Cell, runs: dict[str, list[tuple[TaskName, int]]]) -> None:
+    """Recover the workers and their recorded runs as a new owner."""
     cell.scheduler.observe_workers(cell.entries)
     for entry in cell.entries:
         worker_id = entry.worker_id
         cell.running.setdefault(worker_id, {})
-        lapse_s = cell.clock.now() + LAPSE_S
-        cell.scheduler.restore_runs(worker_id, runs.get(worker_id, []), lapse_s)
+        lease_ends_s = cell.clock.now() + LEASE_LAPSE_S
+        cell.scheduler.restore_runs(worker_id, runs.get(worker_id, []), lease_ends_s)
     cell.clock.advance(0.01)
 
 
-def task_of(cell: Cell, number: int) -> TaskName:
+def first_task_name(cell: Cell, number: int) -> TaskName:
     return cell.scheduler.jobs[make_record(number).job_id].tasks()[0].name
 
 
-def test_work_that_was_never_started_does_not_wait_for_a_silent_worker():
+def test_new_owner_starts_an_unstarted_job_without_waiting_for_a_silent_worker():
     cell = Cell(workers=2, epoch=2)
     cell.scheduler.recover(make_record(), None, 0.0)
-    take_over(cell, {})
+    restore_workers(cell, {})
     cell.poll("worker-0")
     cell.plan_and_execute()
     assert [order.run for order in cell.starts] == [10_001]
 
 
-def test_run_found_on_a_worker_is_kept_and_not_started_again():
+def test_new_owner_keeps_a_run_that_its_worker_reports():
     former = Cell(workers=2)
     former.adopt_workers()
     former.scheduler.accept(make_record(), 0.0)
@@ -49,7 +49,7 @@
     cell.running = former.running
     cell.scheduler.recover(make_record(), None, 0.0)
     start = former.starts[0]
-    take_over(cell, {start.worker_id: [(start.task, start.run)]})
+    restore_workers(cell, {start.worker_id: [(start.task, start.run)]})
     cell.poll_all()
     cell.plan_and_execute()
     assert cell.starts == []
@@ -57,33 +57,33 @@
     assert cell.scheduler.jobs[make_record().job_id].state is JobState.COMPLETED
 
 
-def test_run_recorded_on_a_worker_that_does_not_list_it_is_started_again():
+def test_new_owner_restarts_a_recorded_run_that_its_worker_does_not_report():
     cell = Cell(workers=2, epoch=2)
     cell.scheduler.recover(make_record(), None, 0.0)
-    take_over(cell, {"worker-0": [(task_of(cell, 0), 1)]})
+    restore_workers(cell, {"worker-0": [(first_task_name(cell, 0), 1)]})
     cell.poll_all()
     cell.plan_and_execute()
     assert len(cell.starts) == 1
 
 
-def test_silent_worker_holds_back_only_what_is_recorded_there():
+def test_unresponsive_worker_delays_only_the_runs_recorded_on_it():
     cell = Cell(workers=2, epoch=2)
     cell.scheduler.recover(make_record(0), None, 0.0)
     cell.scheduler.recover(make_record(1), None, 0.0)
-    held = task_of(cell, 0)
-    take_over(cell, {"worker-1": [(held, 3)]})
+    recorded_task = first_task_name(cell, 0)
+    restore_workers(cell, {"worker-1": [(recorded_task, 3)]})
     cell.scheduler.note_failure_to_answer("worker-1")
     cell.poll("worker-0")
     cell.plan_and_execute()
-    assert [order.task for order in cell.starts] == [task_of(cell, 1)]
-    cell.clock.advance(LAPSE_S + 0.1)
+    assert [order.task for order in cell.starts] == [first_task_name(cell, 1)]
+    cell.clock.advance(LEASE_LAPSE_S + 0.1)
     cell.scheduler.check_time()
     cell.plan_and_execute()
-    assert cell.starts[-1].task == held
+    assert cell.starts[-1].task == recorded_task
     assert cell.starts[-1].run > 3
 
 
-def test_start_is_sent_only_once_it_is_recorded():
+def test_start_may_be_sent_only_after_its_run_is_recorded():
     cell = Cell(workers=1)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
@@ -95,7 +95,7 @@
     assert cell.scheduler.is_start_recorded(start)
 
 
-def test_start_of_a_cancelled_job_is_not_sent():
+def test_start_of_a_cancelled_job_is_no_longer_needed():
     cell = Cell(workers=1)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
@@ -104,7 +104,7 @@
     assert not cell.scheduler.is_start_needed(start)
 
 
-def test_worker_that_has_left_is_forgotten_in_the_record_too():
+def test_unlisted_unresponsive_worker_without_runs_is_retired():
     cell = Cell(workers=2)
     cell.adopt_workers()
     cell.scheduler.note_failure_to_answer("worker-1")
@@ -113,7 +113,7 @@
     assert cell.scheduler.retired_workers == {"worker-1"}
 
 
-def test_runs_of_a_silent_worker_are_started_again_only_after_its_lease():
+def test_runs_of_an_unresponsive_worker_restart_only_after_its_lease_lapses():
     cell = Cell(workers=2)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(0, make_step(4, 2000)), 0.0)
@@ -135,46 +135,46 @@
     assert {order.worker_id for order in cell.starts[4:]} == {"worker-1"}
 
 
-def test_start_that_reached_a_new_life_of_a_worker_is_not_sent_elsewhere():
+def test_start_in_flight_during_a_worker_restart_is_not_planned_again():
     cell = Cell(workers=1)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
     start = cell.plan()[0]
-    cell.poll("worker-0", born_ms=STARTED_MS + 1)
+    cell.poll("worker-0", started_ms=STARTED_MS + 1)
     assert cell.plan() == []
     cell.execute([start])
-    cell.poll("worker-0", born_ms=STARTED_MS + 1)
+    cell.poll("worker-0", started_ms=STARTED_MS + 1)
     assert len(cell.scheduler.workers["worker-0"].runs) == 1
 
 
-def test_run_of_a_job_cancelled_meanwhile_is_stopped_by_the_new_owner():
+def test_new_owner_stops_a_recorded_run_of_a_cancelled_job():
     cell = Cell(workers=1, epoch=2)
     cell.scheduler.recover(make_record(), None, 0.0)
-    name = task_of(cell, 0)
+    name = first_task_name(cell, 0)
     cell.scheduler.cancel(make_record().job_id)
-    take_over(cell, {"worker-0": [(name, 1)]})
+    restore_workers(cell, {"worker-0": [(name, 1)]})
     assert [order.task for order in cell.scheduler.pop_orders()] == [name]
 
 
-def test_runs_move_before_a_draining_worker_leaves_and_nothing_new_starts_there():
+def test_draining_worker_gets_no_new_runs_and_its_runs_move_before_it_leaves():
     cell = Cell(workers=2)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(0, make_step(4)), 0.0)
     cell.plan_and_execute()
-    busy = cell.starts[0].worker_id
-    index = int(busy[-1])
+    drained_worker = cell.starts[0].worker_id
+    index = int(drained_worker[-1])
     draining = make_entry(index, state=WorkerState.DRAINING, remaining_s=2.0)
     entries = [make_entry(1 - index), draining]
     cell.scheduler.observe_workers(entries)
     cell.scheduler.accept(make_record(1, make_step(1)), 0.0)
     cell.plan_and_execute()
-    assert cell.starts[-1].worker_id != busy
+    assert cell.starts[-1].worker_id != drained_worker
     cell.execute(cell.scheduler.check_time())
     assert cell.stops == []
     cell.clock.advance(1.5)
     cell.scheduler.observe_workers(entries)
     cell.execute(cell.scheduler.check_time())
     assert len(cell.stops) == 4
-    cell.poll(busy)
+    cell.poll(drained_worker)
     cell.plan_and_execute()
     assert {order.worker_id for order in cell.starts[5:]} == {f"worker-{1 - index}"}
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for jobs of steps."""
+"""Builds jobs, workers and a simulated cell for tests of the workflow scheduler."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def make_queue(name: str = QUEUE, **changes: object) -> Queue:
-    """Return a queue of the test pool."""
+    """Return a queue of the test pool; `changes` override its fields."""
     fields: dict[str, object] = {
         "name": name,
         "host": "host",
@@ -63,13 +63,13 @@
     limit: Resources = NO_LIMIT,
     weight: float = 100.0,
 ) -> CellConfiguration:
-    """Return a configuration of some queues and one workspace."""
+    """Return a configuration with the given queues and one workspace."""
     workspace = Workspace(WORKSPACE, ("key",), weight, limit)
     return CellConfiguration(version, queues or (make_queue(),), (workspace,))
 
 
 def make_step(count: int = 1, cpu_millis: int = 1000, **changes: object) -> object:
-    """Return a step of equal tasks."""
+    """Return a step with `count` tasks; `changes` override its fields."""
     request = changes.pop("request", None) or Resources(cpu_millis, 100, 0)
     fields: dict[str, object] = {
         "count": count,
@@ -81,7 +81,7 @@
 
 
 def make_record(number: int = 0, *steps: object, queue: str = QUEUE) -> JobRecord:
-    """Return an accepted job."""
+    """Return an accepted job; its id is derived from `number`."""
     return JobRecord(
         f"{number:016x}",
         queue,
@@ -92,7 +92,7 @@
 
 
 def make_entry(index: int, **changes: object) -> WorkerEntry:
-    """Return a worker of the test pool."""
+    """Return a worker's registration in the test pool; `changes` override fields."""
     fields: dict[str, object] = {
         "worker_id": f"worker-{index}",
         "pool": POOL,
@@ -108,16 +108,29 @@
 
 
 class Cell:
-    """A scheduler with workers that obey it, without a network.
+    """A scheduler with simulated workers that execute its orders, without a network.
 
     Parameters
     ----------
     workers : int
-        How many there are.
+        Number of workers.
     configuration : CellConfiguration, optional
-        The configuration.
+        Configuration of the cell; one queue and one workspace by default.
     epoch : int
-        The owner's fencing token.
+        The owner's epoch, which is the fencing token of its orders.
+
+    Attributes
+    ----------
+    running : dict of str to dict of (TaskName, int) to str
+        Checkpoint of each run that is present, by worker id, task and run number.
+    listed_ends : dict of str to list of ReportedEnd
+        All ended runs, by worker id.
+    starts : list of StartRun
+        Executed start orders.
+    stops : list of StopRun
+        Executed stop orders.
+    advice_requests : list of RequestAdvice
+        Unanswered requests to the advice service.
     """
 
     def __init__(
@@ -132,41 +145,41 @@
         self.planner = Planner(self.scheduler)
         self.entries = [make_entry(index) for index in range(workers)]
         self.running: dict[str, dict[tuple[TaskName, int], str]] = {}
-        self.ends: dict[str, list[ReportedEnd]] = {}
+        self.listed_ends: dict[str, list[ReportedEnd]] = {}
         self.starts: list[StartRun] = []
         self.stops: list[StopRun] = []
         self.advice_requests: list[RequestAdvice] = []
 
     def adopt_workers(self) -> None:
-        """Let every worker register and answer."""
+        """Register and poll every worker, and mark it as recorded without runs."""
         self.scheduler.observe_workers(self.entries)
         for entry in self.entries:
             self.running.setdefault(entry.worker_id, {})
             self.scheduler.workers[entry.worker_id].note_recorded(())
             self.poll(entry.worker_id)
 
-    def poll(self, worker_id: str, born_ms: int = STARTED_MS) -> None:
-        """Let a worker report."""
+    def poll(self, worker_id: str, started_ms: int = STARTED_MS) -> None:
+        """Poll a worker and execute the orders that follow."""
         sent_s = self.clock.now()
         self.clock.advance(0.001)
         report = WorkerReport(
-            born_ms,
+            started_ms,
             0,
             tuple(
                 ReportedRun(task, run, checkpoint, 50, 1.0)
                 for (task, run), checkpoint in self.running[worker_id].items()
             ),
-            tuple(self.ends.get(worker_id, ())),
+            tuple(self.listed_ends.get(worker_id, ())),
         )
         self.execute(self.scheduler.note_report(worker_id, report, sent_s))
 
     def poll_all(self) -> None:
-        """Let every worker report."""
+        """Poll every worker."""
         for entry in self.entries:
             self.poll(entry.worker_id)
 
     def execute(self, orders: Iterable[Order]) -> None:
-        """Carry orders out."""
+        """Execute orders at once, as the workers would."""
         for order in orders:
             if isinstance(order, StartRun):
                 self.starts.append(order)
@@ -186,19 +199,21 @@
                 self.advice_requests.append(order)
 
     def plan(self) -> list[Order]:
-        """Plan once without carrying the orders out."""
+        """Plan once without executing the orders."""
         return self.planner.plan(LANES)
 
     def plan_and_execute(self) -> None:
-        """Plan once and carry the orders out."""
+        """Plan once and execute the orders."""
         self.execute(self.plan())
 
     def answer_advice(self, granted: Iterable[str] | None = None) -> None:
-        """Grant what was asked for, or only some workers."""
-        asked, self.advice_requests = self.advice_requests, []
-        for order in asked:
+        """Answer all advice requests: grant every worker, or only `granted` ones."""
+        requests, self.advice_requests = self.advice_requests, []
+        for order in requests:
             allowed = order.worker_ids if granted is None else tuple(granted)
-            tickets = {item: "t" for item in order.worker_ids if item in allowed}
+            tickets = {
+                worker_id: "t" for worker_id in order.worker_ids if worker_id in allowed
+            }
             self.scheduler.note_advice(order, tickets, 2.0)
 
     def end_run(
@@ -209,13 +224,13 @@
         kind: EndKind = EndKind.DONE,
         checkpoint: str = "",
     ) -> None:
-        """Let a run end; the next look tells of it."""
+        """End a run; the next poll of its worker reports the end."""
         del self.running[worker_id][task, run]
-        rows = self.ends.setdefault(worker_id, [])
-        rows.append(ReportedEnd(len(rows) + 1, task, run, kind, checkpoint))
+        ends = self.listed_ends.setdefault(worker_id, [])
+        ends.append(ReportedEnd(len(ends) + 1, task, run, kind, checkpoint))
 
     def end_all_runs(self, kind: EndKind = EndKind.DONE) -> None:
-        """Let everything that runs end, and look."""
+        """End all runs, and poll every worker."""
         for worker_id, runs in self.running.items():
             for task, run in list(runs):
                 self.end_run(worker_id, task, run, kind)
--- a/tests/workflow_simulation.py
+++ b/tests/workflow_simulation.py
@@ -1,4 +1,4 @@
-"""A model of workers, a store and owners, driven by any order of events."""
+"""Simulates workers, the store and successive owners, driven event by event."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     make_queue,
 )
 
-LEASE_S = 6.0
-LAPSE_S = 7.0
+LEASE_S = 6.0  # Lease that a start order or a poll gives a worker.
+LEASE_LAPSE_S = 7.0  # Time after which the owner takes such a lease as lapsed.
 MAX_ATTEMPTS = 2
 LIMIT = Resources(9000, 1 << 30, 1 << 30)
 QUEUES = (
@@ -46,184 +46,205 @@
 
 
 @frozen
-class Sent:
-    """An order on its way: whose it is, and when its lease ends."""
+class SentOrder:
+    """An order that was sent and not delivered, and the end of a start's lease."""
 
     epoch: int
     order: Order
-    until_s: float
+    start_lease_end_s: float
 
 
 @define
-class ModelWorker:
-    """What is really on a worker."""
+class SimulatedWorker:
+    """A worker as it actually is, which may differ from what the owner knows.
+
+    `highest_epoch` is the highest fencing token that the worker has seen, and
+    `last_ended_runs` the highest number of an ended or stopped run of each task.
+    `nonbinding_ends` are ends that no owner acknowledged before the worker restarted
+    or its lease lapsed, so their tasks may be started again.
+    """
 
     worker_id: str
     capacity: Resources
-    born_ms: int = STARTED_MS
-    fence: int = 0
+    incarnation_ms: int = STARTED_MS
+    highest_epoch: int = 0
     lease_end_s: float = 0.0
     running: dict[tuple[TaskName, int], str] = field(factory=dict)
-    closed: dict[TaskName, int] = field(factory=dict)
-    ends: list[ReportedEnd] = field(factory=list)
-    last_end: int = 0
-    void: set[int] = field(factory=set)
+    last_ended_runs: dict[TaskName, int] = field(factory=dict)
+    listed_ends: list[ReportedEnd] = field(factory=list)
+    last_end_number: int = 0
+    nonbinding_ends: set[int] = field(factory=set)
 
-    def finish(self, key: tuple[TaskName, int], kind: EndKind) -> None:
-        """End a run and list its end."""
+    def finish_run(self, key: tuple[TaskName, int], kind: EndKind) -> None:
+        """End a run and list its end for the next poll."""
         checkpoint = self.running.pop(key)
         task, run = key
-        self.closed[task] = max(run, self.closed.get(task, 0))
-        self.last_end += 1
-        self.ends.append(ReportedEnd(self.last_end, task, run, kind, checkpoint))
+        self.last_ended_runs[task] = max(run, self.last_ended_runs.get(task, 0))
+        self.last_end_number += 1
+        self.listed_ends.append(
+            ReportedEnd(self.last_end_number, task, run, kind, checkpoint)
+        )
 
 
-class World:
-    """Two owners in turn, three workers, and messages that may be lost or late."""
+class ClusterSimulation:
+    """Simulates three workers, a store and one owner after another.
+
+    Orders and answers may be lost or late. Every start that a worker executes is
+    checked against the scheduler's invariants.
+    """
 
     def __init__(self) -> None:
         self.clock = ManualClock(100.0)
         self.records: dict[str, JobRecord] = {}
-        self.cancelled: set[str] = set()
-        self.progress: dict[str, JobProgress] = {}
-        self.acknowledged_done: set[TaskName] = set()
-        self.failed: dict[TaskName, int] = {}
-        self.failed_ever: dict[TaskName, int] = {}
+        self.cancelled_jobs: set[str] = set()
+        self.recorded_progress: dict[str, JobProgress] = {}
+        self.acknowledged_done_tasks: set[TaskName] = set()
+        # Failed runs that owners have to count, unlike those of nonbinding ends.
+        self.binding_failures: dict[TaskName, int] = {}
+        self.all_failures: dict[TaskName, int] = {}
         self.recorded_runs: dict[str, list[tuple[TaskName, int]]] = {}
-        self.unsent: list[StartRun] = []
+        self.unsent_starts: list[StartRun] = []  # Their runs are not recorded yet.
         entries = [make_entry(index) for index in range(3)]
         self.entries = {entry.worker_id: entry for entry in entries}
         self.workers = {
-            entry.worker_id: ModelWorker(entry.worker_id, entry.capacity)
+            entry.worker_id: SimulatedWorker(entry.worker_id, entry.capacity)
             for entry in entries
         }
         self.epoch = 0
-        self.pending: list[Sent] = []
-        self.unanswered: list[Sent] = []
+        self.sent_orders: list[SentOrder] = []
+        self.delayed_starts: list[SentOrder] = []  # Their owner waits no longer.
         self.take_over()
 
-    # What the owner does
+    # Actions of the owner
 
     def take_over(self) -> None:
-        """Let a new owner recover from what is recorded."""
+        """Start a new owner, which recovers from the store."""
         self.epoch += 1
         self.scheduler = Scheduler(self.clock, self.epoch)
         self.scheduler.apply_configuration(make_configuration(*QUEUES, limit=LIMIT))
         self.planner = Planner(self.scheduler)
         for record in self.records.values():
-            self.scheduler.recover(record, self.progress.get(record.job_id), 0.0)
-        for job_id in self.cancelled:
+            self.scheduler.recover(
+                record, self.recorded_progress.get(record.job_id), 0.0
+            )
+        for job_id in self.cancelled_jobs:
             self.scheduler.cancel(job_id)
         self.scheduler.observe_workers(self.entries.values())
-        self.unsent = []
-        until_s = self.clock.now() + LAPSE_S
+        self.unsent_starts = []
+        recorded_lease_end_s = self.clock.now() + LEASE_LAPSE_S
         for worker_id in self.scheduler.workers:
             runs = self.recorded_runs.get(worker_id, [])
-            self.scheduler.restore_runs(worker_id, runs, until_s)
-        self.send(self.scheduler.pop_orders())
+            self.scheduler.restore_runs(worker_id, runs, recorded_lease_end_s)
+        self.send_orders(self.scheduler.pop_orders())
 
-    def send(self, orders: list[Order]) -> None:
-        """Put orders on their way; starts wait for their record."""
+    def send_orders(self, orders: list[Order]) -> None:
+        """Send orders; starts wait until their run is recorded."""
         for order in orders:
             if isinstance(order, StartRun):
-                self.unsent.append(order)
+                self.unsent_starts.append(order)
             else:
-                self.pending.append(Sent(self.epoch, order, 0.0))
-        self.send_recorded()
+                self.sent_orders.append(SentOrder(self.epoch, order, 0.0))
+        self.send_recorded_starts()
 
-    def send_recorded(self) -> None:
-        """Put the starts on their way that are recorded."""
+    def send_recorded_starts(self) -> None:
+        """Send the starts whose runs are recorded, and drop those no longer needed."""
         now = self.clock.now()
-        unsent, self.unsent = self.unsent, []
+        unsent, self.unsent_starts = self.unsent_starts, []
         for order in unsent:
             if not self.scheduler.is_start_needed(order):
                 continue
             if self.scheduler.is_start_recorded(order):
-                self.scheduler.note_lease(order.worker_id, now + LAPSE_S)
-                self.pending.append(Sent(self.epoch, order, now + LEASE_S))
+                self.scheduler.note_lease(order.worker_id, now + LEASE_LAPSE_S)
+                self.sent_orders.append(SentOrder(self.epoch, order, now + LEASE_S))
             else:
-                self.unsent.append(order)
+                self.unsent_starts.append(order)
 
     def accept(self, record: JobRecord) -> None:
-        """Store a job and tell the owner."""
+        """Store a job and pass it to the owner."""
         self.records[record.job_id] = record
         self.scheduler.accept(record, 0.0)
 
     def cancel(self, job_id: str) -> None:
-        """Store a cancellation and tell the owner."""
-        self.cancelled.add(job_id)
+        """Store a cancellation and pass it to the owner."""
+        self.cancelled_jobs.add(job_id)
         self.scheduler.cancel(job_id)
-        self.send(self.scheduler.pop_orders())
+        self.send_orders(self.scheduler.pop_orders())
 
     def plan(self) -> None:
-        """Let the owner plan."""
-        self.send(self.scheduler.check_time())
-        self.send(self.planner.plan(LANES))
+        """Let the owner process elapsed time, and plan."""
+        self.send_orders(self.scheduler.check_time())
+        self.send_orders(self.planner.plan(LANES))
 
-    def commit(self) -> None:
-        """Record the owner's progress and what runs on closed workers."""
+    def record_progress(self) -> None:
+        """Record the progress of jobs and the runs of all workers."""
         for job_id in self.scheduler.unrecorded_jobs:
             job = self.scheduler.jobs[job_id]
-            self.progress[job_id] = collect_progress(job)
+            self.recorded_progress[job_id] = collect_progress(job)
             job.recorded_state = job.state
             if job.state is JobState.FAILED:
-                counts = [self.failed_ever.get(task.name, 0) for task in job.tasks()]
+                counts = [self.all_failures.get(task.name, 0) for task in job.tasks()]
                 assert max(counts) >= MAX_ATTEMPTS, "failed without cause"
         self.scheduler.unrecorded_jobs.clear()
         for worker_id, worker in self.scheduler.workers.items():
             self.recorded_runs[worker_id] = list(worker.runs)
             worker.note_recorded(worker.runs)
-        self.send_recorded()
+        self.send_recorded_starts()
 
-    def look(self, worker_id: str, is_answered: bool) -> None:
-        """Renew a worker's lease; the answer may be lost."""
+    def poll(self, worker_id: str, is_answered: bool) -> None:
+        """Renew a worker's lease by a poll whose answer may be lost."""
         worker = self.workers[worker_id]
         now = self.clock.now()
-        known = self.scheduler.workers[worker_id]
-        self.scheduler.note_lease(worker_id, now + LAPSE_S)
-        if worker.fence > self.epoch:
+        tracked_worker = self.scheduler.workers[worker_id]
+        self.scheduler.note_lease(worker_id, now + LEASE_LAPSE_S)
+        if worker.highest_epoch > self.epoch:
             return
-        worker.fence = self.epoch
+        worker.highest_epoch = self.epoch
         worker.lease_end_s = max(worker.lease_end_s, now + LEASE_S)
         is_recorded = not self.scheduler.unrecorded_jobs
-        if is_recorded and known.started_ms == worker.born_ms:
-            through = known.last_processed_end
-            for end in worker.ends:
-                is_binding = end.sequence_number not in worker.void
+        if is_recorded and tracked_worker.started_ms == worker.incarnation_ms:
+            last_acknowledged_end = tracked_worker.last_processed_end
+            for end in worker.listed_ends:
+                is_binding = end.sequence_number not in worker.nonbinding_ends
                 if (
-                    end.sequence_number <= through
+                    end.sequence_number <= last_acknowledged_end
                     and end.kind is EndKind.DONE
                     and is_binding
                 ):
-                    self.acknowledged_done.add(end.task)
-            worker.ends = [end for end in worker.ends if end.sequence_number > through]
+                    self.acknowledged_done_tasks.add(end.task)
+            worker.listed_ends = [
+                end
+                for end in worker.listed_ends
+                if end.sequence_number > last_acknowledged_end
+            ]
         if not is_answered:
             self.scheduler.note_failure_to_answer(worker_id)
             return
-        rows = tuple(
+        reported_runs = tuple(
             ReportedRun(task, run, checkpoint, 10, 1.0)
             for (task, run), checkpoint in worker.running.items()
         )
-        report = WorkerReport(worker.born_ms, 0, rows, tuple(worker.ends))
+        report = WorkerReport(
+            worker.incarnation_ms, 0, reported_runs, tuple(worker.listed_ends)
+        )
         self.clock.advance(0.001)
-        self.send(self.scheduler.note_report(worker_id, report, now))
+        self.send_orders(self.scheduler.note_report(worker_id, report, now))
 
-    # What happens to orders
+    # Delivery of orders
 
-    def deliver(self, index: int, is_answered: bool) -> None:
-        """Let an order reach its worker; the answer may be lost."""
-        if not self.pending:
+    def deliver_order(self, index: int, is_answered: bool) -> None:
+        """Deliver an order to its worker, whose answer may be lost."""
+        if not self.sent_orders:
             return
-        sent = self.pending.pop(index % len(self.pending))
+        sent = self.sent_orders.pop(index % len(self.sent_orders))
         epoch, order = sent.epoch, sent.order
         if isinstance(order, StartRun):
             outcome = self.execute_start(sent, order)
             if epoch != self.epoch:
                 return
             if is_answered:
-                self.send(self.scheduler.note_start_outcome(order, outcome))
+                self.send_orders(self.scheduler.note_start_outcome(order, outcome))
             else:
-                self.send(
+                self.send_orders(
                     self.scheduler.note_start_outcome(order, StartOutcome.UNKNOWN)
                 )
         elif isinstance(order, StopRun):
@@ -231,46 +252,46 @@
             if epoch == self.epoch and is_answered:
                 self.scheduler.note_stop_acknowledged(order)
             elif epoch == self.epoch:
-                self.pending.append(sent)
+                self.sent_orders.append(sent)
 
-    def delay(self, index: int) -> None:
-        """Leave a start unanswered and carry it out later."""
+    def delay_start(self, index: int) -> None:
+        """Let the owner stop waiting for a start that may be delivered later."""
         starts = [
             sent
-            for sent in self.pending
+            for sent in self.sent_orders
             if isinstance(sent.order, StartRun) and sent.epoch == self.epoch
         ]
         if not starts:
             return
         sent = starts[index % len(starts)]
         order = sent.order
-        self.pending.remove(sent)
+        self.sent_orders.remove(sent)
         assert isinstance(order, StartRun)
-        self.unanswered.append(sent)
-        self.send(self.scheduler.note_start_outcome(order, StartOutcome.UNKNOWN))
+        self.delayed_starts.append(sent)
+        self.send_orders(self.scheduler.note_start_outcome(order, StartOutcome.UNKNOWN))
 
-    def carry_out_late(self, index: int) -> None:
-        """Carry out a start whose sender has stopped waiting."""
-        if self.unanswered:
-            sent = self.unanswered.pop(index % len(self.unanswered))
+    def execute_delayed_start(self, index: int) -> None:
+        """Deliver a start whose sender has stopped waiting for the answer."""
+        if self.delayed_starts:
+            sent = self.delayed_starts.pop(index % len(self.delayed_starts))
             assert isinstance(sent.order, StartRun)
             self.execute_start(sent, sent.order)
 
-    def execute_start(self, sent: Sent, order: StartRun) -> StartOutcome:
-        """Start a run as a worker does, and check every promise."""
+    def execute_start(self, sent: SentOrder, order: StartRun) -> StartOutcome:
+        """Start a run as a worker does, and check the scheduler's invariants."""
         worker = self.workers[order.worker_id]
         epoch = sent.epoch
-        if epoch < worker.fence:
+        if epoch < worker.highest_epoch:
             return StartOutcome.FENCED
-        worker.fence = epoch
+        worker.highest_epoch = epoch
         key = (order.task, order.run)
         if key in worker.running:
             return StartOutcome.STARTED
-        if order.run <= worker.closed.get(order.task, 0):
+        if order.run <= worker.last_ended_runs.get(order.task, 0):
             return StartOutcome.STALE_RUN
-        if self.clock.now() >= sent.until_s:
+        if self.clock.now() >= sent.start_lease_end_s:
             return StartOutcome.EXPIRED
-        worker.lease_end_s = max(worker.lease_end_s, sent.until_s)
+        worker.lease_end_s = max(worker.lease_end_s, sent.start_lease_end_s)
         self.check_start(order, worker)
         worker.running[key] = order.checkpoint
         return StartOutcome.STARTED
@@ -278,108 +299,116 @@
     def execute_stop(self, epoch: int, order: StopRun) -> None:
         """Stop a run as a worker does."""
         worker = self.workers[order.worker_id]
-        if epoch < worker.fence:
+        if epoch < worker.highest_epoch:
             return
-        worker.fence = epoch
+        worker.highest_epoch = epoch
         key = (order.task, order.run)
         if key in worker.running:
-            worker.finish(key, EndKind.STOPPED)
+            worker.finish_run(key, EndKind.STOPPED)
         else:
-            worker.closed[order.task] = max(order.run, worker.closed.get(order.task, 0))
+            worker.last_ended_runs[order.task] = max(
+                order.run, worker.last_ended_runs.get(order.task, 0)
+            )
 
-    # What happens to workers
+    # Events of workers
 
-    def end(self, worker_id: str, index: int, kind: EndKind) -> None:
-        """Let a run end."""
+    def end_run(self, worker_id: str, index: int, kind: EndKind) -> None:
+        """End one of a worker's runs."""
         worker = self.workers[worker_id]
         if not worker.running:
             return
         key = list(worker.running)[index % len(worker.running)]
         if kind is EndKind.FAILED:
-            self.failed[key[0]] = self.failed.get(key[0], 0) + 1
-            self.failed_ever[key[0]] = self.failed_ever.get(key[0], 0) + 1
-        worker.finish(key, kind)
+            self.binding_failures[key[0]] = self.binding_failures.get(key[0], 0) + 1
+            self.all_failures[key[0]] = self.all_failures.get(key[0], 0) + 1
+        worker.finish_run(key, kind)
 
-    def restart(self, worker_id: str) -> None:
-        """Let a worker crash and start again under its id."""
+    def restart_worker(self, worker_id: str) -> None:
+        """Restart a worker under the same id; its runs and sent starts are lost."""
         worker = self.workers[worker_id]
-        self.void_ends(worker)
-        lost = [
+        self.mark_ends_nonbinding(worker)
+        lost_starts = [
             sent
-            for sent in self.pending
+            for sent in self.sent_orders
             if isinstance(sent.order, StartRun) and sent.order.worker_id == worker_id
         ]
-        for sent in lost:
-            self.pending.remove(sent)
+        for sent in lost_starts:
+            self.sent_orders.remove(sent)
             assert isinstance(sent.order, StartRun)
             if sent.epoch == self.epoch:
-                unknown = StartOutcome.UNKNOWN
-                self.send(self.scheduler.note_start_outcome(sent.order, unknown))
-        born_ms = worker.born_ms + 1
-        self.workers[worker_id] = ModelWorker(worker_id, worker.capacity, born_ms)
-        self.unanswered = [
+                outcome = StartOutcome.UNKNOWN
+                self.send_orders(self.scheduler.note_start_outcome(sent.order, outcome))
+        incarnation_ms = worker.incarnation_ms + 1
+        self.workers[worker_id] = SimulatedWorker(
+            worker_id, worker.capacity, incarnation_ms
+        )
+        self.delayed_starts = [
             sent
-            for sent in self.unanswered
+            for sent in self.delayed_starts
             if isinstance(sent.order, StartRun) and sent.order.worker_id != worker_id
         ]
 
-    def void_ends(self, worker: ModelWorker) -> None:
-        """Let ends that nobody acknowledged in time bind nobody."""
-        for end in worker.ends:
-            if end.sequence_number in worker.void:
+    def mark_ends_nonbinding(self, worker: SimulatedWorker) -> None:
+        """Mark a worker's listed ends as nonbinding, and drop their failures."""
+        for end in worker.listed_ends:
+            if end.sequence_number in worker.nonbinding_ends:
                 continue
-            worker.void.add(end.sequence_number)
+            worker.nonbinding_ends.add(end.sequence_number)
             if end.kind is EndKind.FAILED:
-                self.failed[end.task] -= 1
+                self.binding_failures[end.task] -= 1
 
-    def pass_time(self, seconds: float) -> None:
-        """Let time pass; runs whose lease has lapsed are killed."""
+    def advance_time(self, seconds: float) -> None:
+        """Advance the clock; workers kill runs whose lease has lapsed."""
         self.clock.advance(seconds)
         for worker in self.workers.values():
             if self.clock.now() > worker.lease_end_s:
-                self.void_ends(worker)
+                self.mark_ends_nonbinding(worker)
                 for key in list(worker.running):
-                    worker.finish(key, EndKind.LEASE_LAPSED)
+                    worker.finish_run(key, EndKind.LEASE_LAPSED)
 
-    # Promises
+    # Invariants
 
-    def check_start(self, order: StartRun, worker: ModelWorker) -> None:
-        """Check that a start breaks no promise."""
+    def check_start(self, order: StartRun, worker: SimulatedWorker) -> None:
+        """Check that a start violates no invariant of the scheduler."""
         record = self.records.get(order.task.step.job_id)
-        assert record is not None, "started what nobody asked for"
+        assert record is not None, "started a task of a job that was not accepted"
         for other in self.workers.values():
             for task, run in other.running:
                 assert task != order.task, (
                     f"{task} runs twice, as {run} and {order.run}"
                 )
-        assert order.task not in self.acknowledged_done, "started again after its end"
+        assert order.task not in self.acknowledged_done_tasks, (
+            "started again after its end"
+        )
         step = record.specification.steps[order.task.step.step]
-        used = self.used_on(worker) + step.charged
-        assert used.fits_in(worker.capacity), "worker overfilled"
-        total = step.request
+        used_on_worker = self.used_resources(worker) + step.charged
+        assert used_on_worker.fits_in(worker.capacity), "worker overfilled"
+        used_by_workspace = step.request
         for other in self.workers.values():
-            total = total + self.used_on(other)
-        assert total.fits_in(LIMIT), "workspace beyond its limit"
-        assert self.failed.get(order.task, 0) < MAX_ATTEMPTS, (
+            used_by_workspace = used_by_workspace + self.used_resources(other)
+        assert used_by_workspace.fits_in(LIMIT), "workspace beyond its limit"
+        assert self.binding_failures.get(order.task, 0) < MAX_ATTEMPTS, (
             "started beyond its attempts"
         )
-        for before in step.after:
-            for index in range(record.specification.steps[before].count):
+        for predecessor in step.after:
+            for index in range(record.specification.steps[predecessor].count):
                 name = TaskName(
-                    order.task.step.__class__(record.job_id, 0, before), index
+                    order.task.step.__class__(record.job_id, 0, predecessor), index
+                )
+                assert self.is_known_done(name), (
+                    "started before its predecessors were done"
                 )
-                assert self.has_done(name), "started before its predecessors"
 
-    def has_done(self, name: TaskName) -> bool:
-        """Tell whether a task's end as done is recorded, or still listed."""
-        if name in self.acknowledged_done:
+    def is_known_done(self, name: TaskName) -> bool:
+        """Return whether an owner has acknowledged or processed a task's completion."""
+        if name in self.acknowledged_done_tasks:
             return True
         job = self.scheduler.jobs.get(name.step.job_id)
         task = find_task(job, name) if job else None
         return task is not None and task.is_done
 
-    def used_on(self, worker: ModelWorker) -> Resources:
-        """Return what really runs on a worker."""
+    def used_resources(self, worker: SimulatedWorker) -> Resources:
+        """Return the resources reserved by the runs that are present on a worker."""
         used = NO_RESOURCES
         for task, _ in worker.running:
             job = make_job(self.records[task.step.job_id])
