--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -24,7 +24,7 @@
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 FORECAST_TTL_S = 0.2
-"""Seconds for which a forecast is reused; durations and pools change slowly."""
+"""Seconds for which a forecast is reused, as durations and pools change slowly."""
 
 
 class CellState:
@@ -48,7 +48,7 @@
     active_steps : dict of StepName to Step
         Steps that are due and not done, and whose predecessors are done.
     usage : WorkspaceUsage
-        Resources that each workspace uses.
+        Resources that each workspace may be using.
     durations : Durations
         Estimates of task durations, learned from earlier runs.
     unrecorded_jobs : set of str
@@ -93,7 +93,7 @@
         return self.configuration.queue(job.record.queue)
 
     def limit_of(self, workspace: str) -> Resources:
-        """Return the resources that a workspace may use at once."""
+        """Return a workspace's resource limit; `NO_LIMIT` if it is not configured."""
         configured = self.configuration.workspace(workspace)
         return NO_LIMIT if configured is None else configured.limit
 
--- a/src/fuchsiadale/decision/workflow/configuration.py
+++ b/src/fuchsiadale/decision/workflow/configuration.py
@@ -51,9 +51,10 @@
     max_attempts : int
         Number of failed runs of a task, or of a gang, that fails the job.
     stretch : float
-        Factor of a job's critical path in the objective for its duration.
+        Objective for a job's duration, as a multiple of the forecast duration of its
+        longest chain of steps.
     slack_s : float
-        Seconds added to that product.
+        Seconds added to the objective.
     is_public : bool
         Whether callers need no API key.
     advice : AdviceTiming or None
@@ -83,7 +84,7 @@
     keys : tuple of str
         API keys that authenticate the workspace.
     weight : float
-        Submissions per second that are within the workspace's rate.
+        Rate of submissions per second; jobs above it are scheduled after all others.
     limit : Resources
         Resources that the workspace may use at once, over all pools.
     """
--- a/src/fuchsiadale/decision/workflow/decisions.py
+++ b/src/fuchsiadale/decision/workflow/decisions.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 MAX_DECISIONS = 2_000
-"""Maximum number of buffered decisions; a busy owner makes as many in a second."""
+"""Maximum number of buffered decisions; about a second's worth of a busy owner."""
 
 
 @frozen
--- a/src/fuchsiadale/decision/workflow/job_tracker.py
+++ b/src/fuchsiadale/decision/workflow/job_tracker.py
@@ -1,4 +1,4 @@
-"""Adds jobs, activates their steps and finishes them."""
+"""Tracks jobs from their acceptance to their expiry, and activates their steps."""
 
 from __future__ import annotations
 
--- a/src/fuchsiadale/decision/workflow/jobs.py
+++ b/src/fuchsiadale/decision/workflow/jobs.py
@@ -12,7 +12,7 @@
 
 
 class JobState(Enum):
-    """State of a job as reported to its caller."""
+    """State of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -73,7 +73,7 @@
     stop_acknowledged_s : float or None
         When the worker acknowledged the order to stop the run; None if it has not.
     progress_percent : int
-        Progress in the worker's last report.
+        `ReportedRun.progress_percent` in the worker's last report.
     last_progress_s : float
         When the reported progress or checkpoint last changed.
     pace_percent : int
@@ -136,13 +136,14 @@
     failures : FailureCount
         Failed runs of the task.
     last_run : int
-        Highest number of a run of the task; 0 if it never ran.
+        Highest number of a run of the task; 0 if none is known.
     checkpoint : str
         Last checkpoint of the task; empty if it has none.
     runs : list of Run
         Runs that may be present on a worker.
     failed_on : set of str
-        Ids of the workers on which the task failed, stalled or was refused.
+        Ids of the workers on which the task failed, stalled, or could not start
+        because the worker lacked room or was unhealthy.
     """
 
     step: Step
@@ -157,7 +158,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the task is neither completed nor running."""
+        """Whether the task is not completed and no worker may have a run of it."""
         return not self.is_done and not self.runs
 
 
@@ -185,7 +186,7 @@
     next_advice_request_s : float
         Earliest time of the next request for advice, on the event loop's clock.
     waiting_tasks : dict of int to Task
-        Tasks that are neither completed nor running, by index.
+        Tasks that are not completed and of which no worker may have a run, by index.
     gang_failures : FailureCount
         Failed runs of the whole gang.
     done_count : int
@@ -225,6 +226,8 @@
 class JobProgress:
     """A job's progress as recorded in the store.
 
+    All dictionaries are empty if the state is final.
+
     Attributes
     ----------
     state : JobState
@@ -261,7 +264,8 @@
     arrived_s : float
         When the job was accepted, on the event loop's clock.
     done_tasks : int
-        Number of completed tasks, over all occurrences.
+        Number of tasks that completed under this owner, over all occurrences; a
+        change outdates the job's forecast.
     exceeds_rate : bool
         Whether the job was submitted above its workspace's submission rate.
     is_cancelled : bool
--- a/src/fuchsiadale/decision/workflow/limits.py
+++ b/src/fuchsiadale/decision/workflow/limits.py
@@ -7,7 +7,10 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 
 BURST_S = 3.0
-"""Capacity of a token bucket in seconds of its rate; a burst peaks in that time."""
+"""Seconds of submissions at the full rate that a token bucket holds.
+
+A burst of submissions takes about that long to reach its peak.
+"""
 
 
 class WorkspaceUsage:
@@ -41,10 +44,10 @@
 
 @frozen
 class SubmissionRateLimiter:
-    """Detects submissions above their workspace's rate, with a token bucket each.
+    """Detects submissions above the rate, with one token bucket per workspace.
 
-    A bucket gains `weight` tokens per second and holds those of `BURST_S` seconds, but
-    at least one.
+    A bucket gains `weight` tokens per second. Its capacity is `weight * BURST_S`
+    tokens, or 1 if that is more.
     """
 
     _buckets: dict[str, _TokenBucket]
--- a/src/fuchsiadale/decision/workflow/messages.py
+++ b/src/fuchsiadale/decision/workflow/messages.py
@@ -12,7 +12,23 @@
 
 @frozen
 class StartRun:
-    """Order to start a run of a task on a worker."""
+    """Order to start a run of a task on a worker.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    payload : str
+        Data that the job passes to every task.
+    checkpoint : str
+        Checkpoint to resume from; empty if there is none.
+    ticket : str
+        Ticket that permits the run on the worker; empty if none is needed.
+    """
 
     worker_id: str
     task: TaskName
@@ -24,7 +40,19 @@
 
 @frozen
 class StopRun:
-    """Order to stop a run on a worker."""
+    """Order to stop a run on a worker.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    reason : str
+        Why the run is stopped, for the log.
+    """
 
     worker_id: str
     task: TaskName
@@ -34,7 +62,19 @@
 
 @frozen
 class PaceRun:
-    """Order to limit a run to a percentage of its full speed."""
+    """Order to limit a run to a percentage of its full speed.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    percent : int
+        Percentage of full speed; 0 pauses the run.
+    """
 
     worker_id: str
     task: TaskName
@@ -53,7 +93,7 @@
     worker_ids : tuple of str
         Ids of the workers to ask about.
     expected_duration_s : float
-        Expected duration of the request, in seconds.
+        Expected duration of the request by `AdviceTiming.call_duration_s`, in seconds.
     """
 
     step: StepName
@@ -80,15 +120,16 @@
     NO_ROOM
         The worker lacks free resources.
     TICKET_REFUSED
-        The worker does not accept the ticket.
+        The worker rejected the ticket, or it expired before the order was sent.
     UNHEALTHY
-        The worker is unreachable, or refuses new runs for now.
+        The order was not delivered, or the worker refuses new runs for now; the run
+        has not started.
     OTHER_BOOT
         Another worker instance answers at the address.
     INVALID
         The worker rejects the order as invalid.
     UNKNOWN
-        No answer arrived, so the run may have started.
+        No conclusive answer arrived, so the run may have started.
     """
 
     STARTED = "started"
@@ -117,11 +158,12 @@
     LEASE_LAPSED
         The worker killed the run because its lease was not renewed.
     GANG_BROKEN
-        The run ended because its gang was broken up.
+        The worker reports that the run's gang was broken.
     GANG_INCOMPLETE
-        The run ended because its gang was incomplete.
+        The worker reports that the run's gang was incomplete.
     VANISHED
-        The worker no longer reports the run, or its lease has certainly lapsed.
+        The worker no longer reports the run, the worker's lease has certainly lapsed,
+        or another worker instance answers at its address.
     """
 
     DONE = "done"
@@ -134,7 +176,15 @@
 
 
 class WorkerState(Enum):
-    """State of a worker, as its registration gives it."""
+    """State of a worker, as its registration gives it.
+
+    Attributes
+    ----------
+    READY
+        The worker accepts new tasks.
+    DRAINING
+        The worker leaves soon and accepts no new tasks.
+    """
 
     READY = "ready"
     DRAINING = "draining"
@@ -190,8 +240,8 @@
     checkpoint : str
         Last checkpoint of the run; empty if it has none.
     progress_percent : int
-        Progress of a task that ends by itself, else the speed of the run, where 100
-        is full speed.
+        Percentage of the work that is done; for a task that does not end by itself,
+        its speed, where 100 is full speed.
     load : float or None
         Tail latency of a serving task in milliseconds; CPU usage of any other task in
         thousandths of a core; None if not reported.
@@ -238,7 +288,8 @@
     started_ms : int
         Start of the incarnation that answered, in Unix milliseconds; 0 if not given.
     clock_ms : int
-        Reading of the worker's clock, in milliseconds.
+        Reading of the worker's own clock when it answered, in milliseconds; the ends
+        of leases are given on this clock.
     running : tuple of ReportedRun
         All runs that are present on the worker.
     ended : tuple of ReportedEnd
--- a/src/fuchsiadale/decision/workflow/names.py
+++ b/src/fuchsiadale/decision/workflow/names.py
@@ -7,7 +7,17 @@
 
 @frozen
 class StepName:
-    """Name of one occurrence of a job's step."""
+    """Name of one occurrence of a job's step.
+
+    Attributes
+    ----------
+    job_id : str
+        Id of the job.
+    occurrence : int
+        Number of the occurrence, counted from 0.
+    step : int
+        Position of the step in the job, counted from 0.
+    """
 
     job_id: str
     occurrence: int
@@ -20,7 +30,15 @@
 
 @frozen
 class TaskName:
-    """Name of one task of an occurrence of a step."""
+    """Name of one task of an occurrence of a step.
+
+    Attributes
+    ----------
+    step : StepName
+        Name of the occurrence of the step.
+    index : int
+        Position of the task in the step, counted from 0.
+    """
 
     step: StepName
     index: int
--- a/src/fuchsiadale/decision/workflow/run_tracker.py
+++ b/src/fuchsiadale/decision/workflow/run_tracker.py
@@ -24,11 +24,11 @@
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 RUN_NUMBERS_PER_EPOCH = 10_000
-"""Run numbers reserved per epoch, so that a later owner's numbers are higher."""
+"""Run numbers reserved per epoch, so that a later owner's are always higher."""
 
 
 class RunTracker(JobTracker):
-    """Tracks runs, and the worker and workspace resources that they use."""
+    """Tracks runs, and the usage of workers and workspaces that they cause."""
 
     def restore_runs(
         self,
@@ -98,11 +98,14 @@
 
     def next_run_number(self, tasks: Iterable[Task]) -> int:
         """Return a number for the next run that is above those of all earlier runs."""
-        last_reserved = (self.epoch - 1) * RUN_NUMBERS_PER_EPOCH
-        return max(max(task.last_run for task in tasks), last_reserved) + 1
+        last_of_earlier_epochs = (self.epoch - 1) * RUN_NUMBERS_PER_EPOCH
+        return max(max(task.last_run for task in tasks), last_of_earlier_epochs) + 1
 
     def note_start_outcome(self, order: StartRun, outcome: StartOutcome) -> list[Order]:
-        """Process the outcome of a start order and return the orders that follow."""
+        """Process the outcome of a start order and return the orders that follow.
+
+        The outcome of a run that is no longer starting is ignored.
+        """
         worker = self.workers.get(order.worker_id)
         run = worker.runs.get((order.task, order.run)) if worker else None
         if worker is None or run is None or run.state is not RunState.STARTING:
@@ -129,7 +132,7 @@
         return self.pop_orders()
 
     def is_start_recorded(self, order: StartRun) -> bool:
-        """Return whether a start order may be sent because its run is recorded."""
+        """Return whether the run is in the store, as it must be to send the order."""
         worker = self.workers.get(order.worker_id)
         return worker is not None and worker.has_recorded(order.task, order.run)
 
@@ -140,7 +143,10 @@
         return run is not None and run.state is RunState.STARTING
 
     def has_ticket_expired(self, order: StartRun) -> bool:
-        """Return whether the ticket of a start order has expired."""
+        """Return whether the ticket of a start order has expired.
+
+        False for an order without a ticket, and for a step that is not active.
+        """
         step = self.active_steps.get(order.task.step)
         if step is None or not order.ticket:
             return False
--- a/src/fuchsiadale/decision/workflow/specification.py
+++ b/src/fuchsiadale/decision/workflow/specification.py
@@ -24,7 +24,7 @@
     is_gang : bool
         Whether the tasks can only run all at the same time.
     same_rack : bool
-        Whether the tasks are slow when they are spread over several racks.
+        Whether to prefer one rack for all tasks, as they are slow across several.
     required_label : str
         Label that the worker must have; empty for none.
     preferred_rack : str
@@ -86,7 +86,7 @@
     first_s : float
         When the first occurrence is due, in Unix seconds.
     interval_s : float
-        Seconds between two occurrences.
+        Seconds between consecutive occurrences.
     occurrences : int
         Number of occurrences.
     """
--- a/src/fuchsiadale/decision/workflow/tracked_worker.py
+++ b/src/fuchsiadale/decision/workflow/tracked_worker.py
@@ -21,10 +21,16 @@
 """Failure score that quarantines a worker; three failed jobs in a row reach it."""
 
 QUARANTINE_S = 4.0
-"""Seconds for which a failing worker is quarantined; as long as a gray failure."""
+"""Seconds for which a failing worker is quarantined.
+
+A gray failure, in which a worker answers but its runs fail, lasts about 4 s.
+"""
 
 SLOWDOWN_WEIGHT = 0.1
-"""Weight of the newest run in a worker's slowdown; averages out wrong estimates."""
+"""Weight of the newest run in a worker's slowdown.
+
+The small weight averages out the errors of callers' estimates.
+"""
 
 MAX_RUN_SLOWDOWN = 10.0
 """Upper bound on the slowdown of a single run.
@@ -55,13 +61,15 @@
     is_listed : bool
         Whether the worker is still registered.
     is_adopted : bool
-        Whether the worker has answered under the current fencing token.
+        Whether the worker has answered under the current fencing token since it was
+        last considered lost.
     is_recorded : bool
         Whether the worker is in the store, where a later owner would find it.
     unresponsive_since_s : float or None
         When the worker stopped answering; None while it answers.
     earliest_departure_s : float or None
-        When a draining worker may leave, by its last registration; None if not known.
+        When a draining worker may leave, counted from the registration that last
+        changed `remaining_s`; None if not given.
     lease_ends_s : float
         When all runs on the worker have certainly ended if the lease is not renewed.
     started_ms : int
@@ -70,11 +78,12 @@
     last_processed_end : int
         Sequence number of the last end of that incarnation that was processed.
     failure_score : float
-        Moving average of run outcomes, from 0 (no failures) to 1 (only failures).
+        Moving average of outcomes, where a failed or stalled run, or a start refused
+        as NO_ROOM or UNHEALTHY, counts as 1, and a completed run as 0.
     slowdown : float
         Moving average of the ratio of actual to expected run durations.
     quarantined_until_s : float
-        Until when no new tasks are placed on the worker because its runs fail.
+        Until when no new tasks are placed on the worker because of its failures.
     last_failed_job : str
         Id of the job whose failure was last counted; empty if none.
     unknown_job_runs : int
@@ -124,7 +133,10 @@
 
     @property
     def is_record_awaited(self) -> bool:
-        """Whether the worker's first use or a start waits until it is recorded."""
+        """Whether the worker, or a run to start on it, still has to be recorded.
+
+        Unlike `is_record_stale`, ignores ended runs that the store still lists.
+        """
         return not self.is_recorded or bool(
             self.runs.keys() - self._recorded_runs.keys()
         )
@@ -192,10 +204,17 @@
     def note_failure(self, job_id: str, now_s: float) -> bool:
         """Raise the failure score; consecutive failures of one job count once.
 
+        Parameters
+        ----------
+        job_id : str
+            Id of the job whose run failed.
+        now_s : float
+            The time on the event loop's clock.
+
         Returns
         -------
         is_quarantined : bool
-            Whether the worker is quarantined from now on.
+            Whether this failure starts or extends a quarantine.
         """
         if job_id == self.last_failed_job:
             return False
--- a/tests/test_workflow_model.py
+++ b/tests/test_workflow_model.py
@@ -21,7 +21,7 @@
 
 WORKERS = ("worker-0", "worker-1", "worker-2")
 NORMAL_ROUND_SHARE = 0.5
-"""Share of rounds in which most orders, polls and records succeed."""
+"""Share of normal rounds with few failures; others run one random event."""
 
 EVENTS = (
     "accept",
--- a/tests/test_workflow_takeover.py
+++ b/tests/test_workflow_takeover.py
@@ -31,7 +31,7 @@
     return cell.scheduler.jobs[make_record(number).job_id].tasks()[0].name
 
 
-def test_new_owner_starts_an_unstarted_job_without_waiting_for_a_silent_worker():
+def test_new_owner_starts_an_unstarted_job_before_every_worker_has_answered():
     cell = Cell(workers=2, epoch=2)
     cell.scheduler.recover(make_record(), None, 0.0)
     restore_workers(cell, {})
@@ -136,6 +136,8 @@
 
 
 def test_start_in_flight_during_a_worker_restart_is_not_planned_again():
+    # A start may reach the new incarnation before the owner learns of the restart, so
+    # its run must not be dropped and started a second time.
     cell = Cell(workers=1)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -38,7 +38,7 @@
 QUEUE = "queue"
 WORKSPACE = "workspace"
 STARTED_MS = 1_000_000
-LANES = 4
+LANES = 4  # Maximum number of concurrent requests to the advice service.
 ADVICE = AdviceTiming(0.02, 0.001, 2.0)
 
 
@@ -179,7 +179,7 @@
             self.poll(entry.worker_id)
 
     def execute(self, orders: Iterable[Order]) -> None:
-        """Execute orders at once, as the workers would."""
+        """Execute starts and stops, queue requests for advice, and ignore paces."""
         for order in orders:
             if isinstance(order, StartRun):
                 self.starts.append(order)
@@ -207,7 +207,7 @@
         self.execute(self.plan())
 
     def answer_advice(self, granted: Iterable[str] | None = None) -> None:
-        """Answer all advice requests: grant every worker, or only `granted` ones."""
+        """Answer all advice requests by granting all workers, or those in `granted`."""
         requests, self.advice_requests = self.advice_requests, []
         for order in requests:
             allowed = order.worker_ids if granted is None else tuple(granted)
--- a/tests/workflow_simulation.py
+++ b/tests/workflow_simulation.py
@@ -35,8 +35,8 @@
     make_queue,
 )
 
-LEASE_S = 6.0  # Lease that a start order or a poll gives a worker.
-LEASE_LAPSE_S = 7.0  # Time after which the owner takes such a lease as lapsed.
+LEASE_S = 6.0  # Seconds of the lease that a start or a poll gives a worker.
+LEASE_LAPSE_S = 7.0  # Seconds until the owner takes it as lapsed, with a margin.
 MAX_ATTEMPTS = 2
 LIMIT = Resources(9000, 1 << 30, 1 << 30)
 QUEUES = (
@@ -47,7 +47,7 @@
 
 @frozen
 class SentOrder:
-    """An order that was sent and not delivered, and the end of a start's lease."""
+    """An order on its way; `start_lease_end_s` is 0 unless it is a start."""
 
     epoch: int
     order: Order
@@ -60,13 +60,14 @@
 
     `highest_epoch` is the highest fencing token that the worker has seen, and
     `last_ended_runs` the highest number of an ended or stopped run of each task.
-    `nonbinding_ends` are ends that no owner acknowledged before the worker restarted
-    or its lease lapsed, so their tasks may be started again.
+    `nonbinding_ends` holds the sequence numbers of ends that no owner acknowledged
+    before the worker restarted or its lease lapsed, so that an owner may not know them
+    and their tasks may be started again.
     """
 
     worker_id: str
     capacity: Resources
-    incarnation_ms: int = STARTED_MS
+    incarnation_started_ms: int = STARTED_MS
     highest_epoch: int = 0
     lease_end_s: float = 0.0
     running: dict[tuple[TaskName, int], str] = field(factory=dict)
@@ -99,7 +100,7 @@
         self.cancelled_jobs: set[str] = set()
         self.recorded_progress: dict[str, JobProgress] = {}
         self.acknowledged_done_tasks: set[TaskName] = set()
-        # Failed runs that owners have to count, unlike those of nonbinding ends.
+        # Failed runs by task, without those of nonbinding ends.
         self.binding_failures: dict[TaskName, int] = {}
         self.all_failures: dict[TaskName, int] = {}
         self.recorded_runs: dict[str, list[tuple[TaskName, int]]] = {}
@@ -112,7 +113,9 @@
         }
         self.epoch = 0
         self.sent_orders: list[SentOrder] = []
-        self.delayed_starts: list[SentOrder] = []  # Their owner waits no longer.
+        self.delayed_starts: list[
+            SentOrder
+        ] = []  # The owner no longer awaits an answer.
         self.take_over()
 
     # Actions of the owner
@@ -183,7 +186,7 @@
             job.recorded_state = job.state
             if job.state is JobState.FAILED:
                 counts = [self.all_failures.get(task.name, 0) for task in job.tasks()]
-                assert max(counts) >= MAX_ATTEMPTS, "failed without cause"
+                assert max(counts) >= MAX_ATTEMPTS, f"{job_id} failed without cause"
         self.scheduler.unrecorded_jobs.clear()
         for worker_id, worker in self.scheduler.workers.items():
             self.recorded_runs[worker_id] = list(worker.runs)
@@ -201,7 +204,7 @@
         worker.highest_epoch = self.epoch
         worker.lease_end_s = max(worker.lease_end_s, now + LEASE_S)
         is_recorded = not self.scheduler.unrecorded_jobs
-        if is_recorded and tracked_worker.started_ms == worker.incarnation_ms:
+        if is_recorded and tracked_worker.started_ms == worker.incarnation_started_ms:
             last_acknowledged_end = tracked_worker.last_processed_end
             for end in worker.listed_ends:
                 is_binding = end.sequence_number not in worker.nonbinding_ends
@@ -224,7 +227,7 @@
             for (task, run), checkpoint in worker.running.items()
         )
         report = WorkerReport(
-            worker.incarnation_ms, 0, reported_runs, tuple(worker.listed_ends)
+            worker.incarnation_started_ms, 0, reported_runs, tuple(worker.listed_ends)
         )
         self.clock.advance(0.001)
         self.send_orders(self.scheduler.note_report(worker_id, report, now))
@@ -338,9 +341,9 @@
             if sent.epoch == self.epoch:
                 outcome = StartOutcome.UNKNOWN
                 self.send_orders(self.scheduler.note_start_outcome(sent.order, outcome))
-        incarnation_ms = worker.incarnation_ms + 1
+        incarnation_started_ms = worker.incarnation_started_ms + 1
         self.workers[worker_id] = SimulatedWorker(
-            worker_id, worker.capacity, incarnation_ms
+            worker_id, worker.capacity, incarnation_started_ms
         )
         self.delayed_starts = [
             sent
@@ -349,7 +352,7 @@
         ]
 
     def mark_ends_nonbinding(self, worker: SimulatedWorker) -> None:
-        """Mark a worker's listed ends as nonbinding, and drop their failures."""
+        """Note that owners may never know a worker's listed ends, and drop failures."""
         for end in worker.listed_ends:
             if end.sequence_number in worker.nonbinding_ends:
                 continue
@@ -371,33 +374,31 @@
     def check_start(self, order: StartRun, worker: SimulatedWorker) -> None:
         """Check that a start violates no invariant of the scheduler."""
         record = self.records.get(order.task.step.job_id)
-        assert record is not None, "started a task of a job that was not accepted"
+        assert record is not None, f"{order.task} is of no accepted job"
         for other in self.workers.values():
             for task, run in other.running:
                 assert task != order.task, (
-                    f"{task} runs twice, as {run} and {order.run}"
+                    f"{task} runs twice, as {run} and {order.run}: {other}"
                 )
         assert order.task not in self.acknowledged_done_tasks, (
-            "started again after its end"
+            f"{order.task} started again after its end"
         )
         step = record.specification.steps[order.task.step.step]
         used_on_worker = self.used_resources(worker) + step.charged
-        assert used_on_worker.fits_in(worker.capacity), "worker overfilled"
+        assert used_on_worker.fits_in(worker.capacity), f"{worker}: worker overfilled"
         used_by_workspace = step.request
         for other in self.workers.values():
             used_by_workspace = used_by_workspace + self.used_resources(other)
-        assert used_by_workspace.fits_in(LIMIT), "workspace beyond its limit"
+        assert used_by_workspace.fits_in(LIMIT), f"{order}: workspace beyond its limit"
         assert self.binding_failures.get(order.task, 0) < MAX_ATTEMPTS, (
-            "started beyond its attempts"
+            f"{order.task} started beyond its attempts"
         )
         for predecessor in step.after:
             for index in range(record.specification.steps[predecessor].count):
                 name = TaskName(
                     order.task.step.__class__(record.job_id, 0, predecessor), index
                 )
-                assert self.is_known_done(name), (
-                    "started before its predecessors were done"
-                )
+                assert self.is_known_done(name), f"{order.task} started before {name}"
 
     def is_known_done(self, name: TaskName) -> bool:
         """Return whether an owner has acknowledged or processed a task's completion."""
