--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP interface on the platform."""
+"""HTTP interface through which callers reach a cell on the platform."""
 
 from __future__ import annotations
 
@@ -15,13 +15,17 @@
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.platform.documents import decode_job
 
-KEY_HEADER = "X-Fuchsiadale-Credential"
+API_KEY_HEADER = "X-Fuchsiadale-Credential"
 MAX_BODY_BYTES = 1 << 20
-"""Longest body taken, in bytes: four times the platform's own limit."""
+"""Maximum size of a request body in bytes: four times the platform's own limit.
+
+This constant is not passed to aiohttp: its default limit, which has the same value,
+rejects larger bodies.
+"""
 
 READINESS_PATH = "/api/readiness"
 
-_STATES = {
+_STATE_NAMES = {
     JobState.QUEUED: "queued",
     JobState.RUNNING: "running",
     JobState.COMPLETED: "completed",
@@ -31,34 +35,35 @@
 
 
 class Ingress:
-    """Decodes callers' calls and encodes their answers.
+    """Decodes callers' requests, passes them to the gateway and encodes the replies.
 
     Parameters
     ----------
     gateway : Gateway
-        Answers them.
+        Carries out the requests.
     metrics : CellMetrics
-        Counts and times them.
-    is_leaving : callable
-        Tells whether connections should end with their answers.
+        Counts and times the requests.
+    is_draining : callable
+        Returns whether the process is stopping, so that connections are closed after
+        the reply.
     """
 
     def __init__(
-        self, gateway: Gateway, metrics: CellMetrics, is_leaving: Callable[[], bool]
+        self, gateway: Gateway, metrics: CellMetrics, is_draining: Callable[[], bool]
     ) -> None:
         self._gateway = gateway
         self._metrics = metrics
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
 
-    async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one call."""
+    async def handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Handle one request."""
         with self._metrics.call_seconds.time():
             outcome = await self._dispatch(request)
         if isinstance(outcome, Err):
             refusal = outcome.err_value
             answer = refusal.answer
             status = answer.http_status
-            response = _json({"error": refusal.message}, status)
+            response = _make_json_response({"error": refusal.message}, status)
             if answer.retry_after_s is not None:
                 response.headers["Retry-After"] = str(answer.retry_after_s)
             label = refusal.kind.value
@@ -70,10 +75,10 @@
                 detail=refusal.message,
             )
         else:
-            response = _json(outcome.ok_value, 200)
+            response = _make_json_response(outcome.ok_value, 200)
             label = "ok"
         self._metrics.calls.labels(request.method, label).inc()
-        if self._is_leaving():
+        if self._is_draining():
             response.force_close()
         return response
 
@@ -81,7 +86,7 @@
         self, request: web.BaseRequest
     ) -> Result[dict[str, object], Refusal]:
         host = request.headers.get("Host", "").partition(":")[0]
-        call = Call(host, request.path, request.headers.get(KEY_HEADER, ""))
+        call = Call(host, request.path, request.headers.get(API_KEY_HEADER, ""))
         gateway = self._gateway
         if request.method == "POST":
             body = await request.read()
@@ -94,26 +99,31 @@
                 counted = await gateway.count_pending(call)
                 return counted.map(lambda count: {"pending": count})
             shown = await gateway.show(call)
-            return shown.map(lambda state: {"state": _STATES[state]})
-        return Err(Refusal(ErrorKind.MALFORMED, f"method {request.method}"))
+            return shown.map(lambda state: {"state": _STATE_NAMES[state]})
+        return Err(
+            Refusal(
+                ErrorKind.MALFORMED,
+                f"the method must be GET, POST or DELETE, but is {request.method}",
+            )
+        )
 
 
 def make_readiness_handler(
     is_ready: Callable[[], bool],
 ) -> Callable[[web.BaseRequest], object]:
-    """Return the handler of the platform's readiness checks."""
+    """Return the HTTP handler of the platform's readiness checks."""
 
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
-        is_known = request.path == READINESS_PATH
-        if not is_known:
-            return _json({"error": "no such path"}, 404)
+    async def handle_check(request: web.BaseRequest) -> web.StreamResponse:
+        is_readiness_path = request.path == READINESS_PATH
+        if not is_readiness_path:
+            return _make_json_response({"error": "the path does not exist"}, 404)
         ready = is_ready()
-        return _json({"ready": ready}, 200 if ready else 503)
+        return _make_json_response({"ready": ready}, 200 if ready else 503)
 
-    return answer
+    return handle_check
 
 
-def _json(body: dict[str, object], status: int) -> web.Response:
+def _make_json_response(body: dict[str, object], status: int) -> web.Response:
     return web.Response(
         body=orjson.dumps(body), status=status, content_type="application/json"
     )
--- a/tests/row_store.py
+++ b/tests/row_store.py
@@ -1,4 +1,4 @@
-"""A store of rows in memory that fails on demand."""
+"""In-memory row store that can simulate failures, for tests."""
 
 from __future__ import annotations
 
@@ -16,40 +16,43 @@
     TableRow,
 )
 
-ANSWER_S = 0.004
+LATENCY_S = 0.004
+"""Simulated duration of each call to the store, in seconds."""
 
 
 class MemoryRowStore(RowStore):
-    """Keeps rows in memory.
+    """Row store that keeps all rows and their change history in memory.
 
     Attributes
     ----------
     is_down : bool
-        Whether every call is refused.
+        Whether every call fails as unavailable.
     lost_answers : int
-        How many of the next transactions are applied and not answered.
-    loses_history : bool
-        Whether the next watch is told that the history is gone.
-    written : list of RowWrite
-        Every write that was applied.
+        Number of further applied transactions whose outcome is reported as unknown;
+        each of them reduces it by one.
+    is_history_lost : bool
+        Whether the next watch fails because the change history is lost; the watch
+        resets it.
+    applied_writes : list of RowWrite
+        All writes that were applied, in order.
     """
 
     def __init__(self) -> None:
         self.is_down = False
         self.lost_answers = 0
-        self.loses_history = False
-        self.written: list[RowWrite] = []
+        self.is_history_lost = False
+        self.applied_writes: list[RowWrite] = []
         self._rows: dict[tuple[str, str], TableRow] = {}
-        self._log: list[TableRow] = []
+        self._history: list[TableRow] = []
         self._version = 0
         self._changed = asyncio.Event()
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Write a row without a condition."""
+        """Write a row unconditionally."""
         self._apply((RowWrite(table, key, value),))
 
-    def version_of(self, table: str, key: str) -> int:
-        """Return the version of a row, 0 if it does not exist."""
+    def get_version(self, table: str, key: str) -> int:
+        """Return the version of a row, or 0 if it does not exist."""
         row = self._rows.get((table, key))
         return row.version if row else 0
 
@@ -59,12 +62,12 @@
         conditions: tuple[RowCondition, ...] = (),
         timeout_s: float = 1.0,
     ) -> Result[int, StoreFailure]:
-        """Apply all writes if every condition holds."""
-        await asyncio.sleep(ANSWER_S)
+        """Apply all writes if every condition holds; return the store's new version."""
+        await asyncio.sleep(LATENCY_S)
         if self.is_down:
             return Err(StoreFailure.UNAVAILABLE)
         for condition in conditions:
-            if self.version_of(condition.table, condition.key) != condition.version:
+            if self.get_version(condition.table, condition.key) != condition.version:
                 return Err(StoreFailure.CONFLICT)
         self._apply(writes)
         if self.lost_answers:
@@ -75,43 +78,50 @@
     async def read(
         self, table: str, start: str = "", limit: int = 500, timeout_s: float = 1.0
     ) -> Result[RowPage, StoreFailure]:
-        """Return rows of a table in the order of their keys."""
-        await asyncio.sleep(ANSWER_S)
+        """Return at most `limit` rows of a table, sorted by key, from `start` on."""
+        await asyncio.sleep(LATENCY_S)
         if self.is_down:
             return Err(StoreFailure.UNAVAILABLE)
-        keys = sorted(key for of, key in self._rows if of == table and key >= start)
+        keys = sorted(
+            key for row_table, key in self._rows if row_table == table and key >= start
+        )
         rows = tuple(self._rows[table, key] for key in keys[:limit])
         return Ok(RowPage(rows, len(keys) > limit, self._version))
 
     async def watch(
-        self, table: str, after: int, wait_s: float
+        self, table: str, after_version: int, wait_s: float
     ) -> Result[RowChanges, StoreFailure]:
-        """Wait for changes of a table after a version."""
+        """Return the changes of a table after a version.
+
+        If there are none yet, the store waits at most `wait_s` seconds for one.
+        """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
+        deadline_s = loop.time() + wait_s
         while True:
-            await asyncio.sleep(ANSWER_S)
+            await asyncio.sleep(LATENCY_S)
             if self.is_down:
                 return Err(StoreFailure.UNAVAILABLE)
-            if self.loses_history:
-                self.loses_history = False
+            if self.is_history_lost:
+                self.is_history_lost = False
                 return Err(StoreFailure.HISTORY_LOST)
             rows = tuple(
-                row for row in self._log if row.table == table and row.version > after
+                row
+                for row in self._history
+                if row.table == table and row.version > after_version
             )
-            if rows or loop.time() >= until_s:
+            if rows or loop.time() >= deadline_s:
                 return Ok(RowChanges(rows, self._version))
             await asyncio.sleep(0.05)
 
     def _apply(self, writes: tuple[RowWrite, ...]) -> None:
         self._version += 1
         for write in writes:
-            self.written.append(write)
+            self.applied_writes.append(write)
             key = (write.table, write.key)
             value = write.value or b""
             is_deleted = write.value is None
             row = TableRow(write.table, write.key, value, self._version, is_deleted)
-            self._log.append(row)
+            self._history.append(row)
             if is_deleted:
                 self._rows.pop(key, None)
             else:
