--- a/tests/workflow_simulation.py
+++ b/tests/workflow_simulation.py
@@ -186,7 +186,7 @@
             job.recorded_state = job.state
             if job.state is JobState.FAILED:
                 counts = [self.all_failures.get(task.name, 0) for task in job.tasks()]
-                assert max(counts) >= MAX_ATTEMPTS, f"{job_id} failed without cause"
+                assert max(counts) >= MAX_ATTEMPTS, "failed without cause"
         self.scheduler.unrecorded_jobs.clear()
         for worker_id, worker in self.scheduler.workers.items():
             self.recorded_runs[worker_id] = list(worker.runs)
@@ -374,31 +374,31 @@
     def check_start(self, order: StartRun, worker: SimulatedWorker) -> None:
         """Check that a start violates no invariant of the scheduler."""
         record = self.records.get(order.task.step.job_id)
-        assert record is not None, f"{order.task} is of no accepted job"
+        assert record is not None, "started a task of a job that was not accepted"
         for other in self.workers.values():
             for task, run in other.running:
                 assert task != order.task, (
-                    f"{task} runs twice, as {run} and {order.run}: {other}"
+                    f"{task} runs twice, as {run} and {order.run}"
                 )
         assert order.task not in self.acknowledged_done_tasks, (
-            f"{order.task} started again after its end"
+            "started again after its end"
         )
         step = record.specification.steps[order.task.step.step]
         used_on_worker = self.used_resources(worker) + step.charged
-        assert used_on_worker.fits_in(worker.capacity), f"{worker}: worker overfilled"
+        assert used_on_worker.fits_in(worker.capacity), "worker overfilled"
         used_by_workspace = step.request
         for other in self.workers.values():
             used_by_workspace = used_by_workspace + self.used_resources(other)
-        assert used_by_workspace.fits_in(LIMIT), f"{order}: workspace beyond its limit"
+        assert used_by_workspace.fits_in(LIMIT), "workspace beyond its limit"
         assert self.binding_failures.get(order.task, 0) < MAX_ATTEMPTS, (
-            f"{order.task} started beyond its attempts"
+            "started beyond its attempts"
         )
         for predecessor in step.after:
             for index in range(record.specification.steps[predecessor].count):
                 name = TaskName(
                     order.task.step.__class__(record.job_id, 0, predecessor), index
                 )
-                assert self.is_known_done(name), f"{order.task} started before {name}"
+                assert self.is_known_done(name), "started before a predecessor was done"
 
     def is_known_done(self, name: TaskName) -> bool:
         """Return whether an owner has acknowledged or processed a task's completion."""
