--- a/src/fuchsiadale/decision/workflow/messages.py
+++ b/src/fuchsiadale/decision/workflow/messages.py
@@ -1,4 +1,4 @@
-"""What the scheduler orders, and what it is told."""
+"""Orders that the scheduler issues, and reports that it receives."""
 
 from __future__ import annotations
 
@@ -12,7 +12,23 @@
 
 @frozen
 class StartRun:
-    """Start a run of a task on a worker."""
+    """Order to start a run of a task on a worker.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    payload : str
+        Data that the job passes to every task.
+    checkpoint : str
+        Checkpoint to resume from; empty if there is none.
+    ticket : str
+        Ticket that permits the run on the worker; empty if none is needed.
+    """
 
     worker_id: str
     task: TaskName
@@ -24,7 +40,19 @@
 
 @frozen
 class StopRun:
-    """Stop a run on a worker."""
+    """Order to stop a run on a worker.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    reason : str
+        Why the run is stopped, for the log.
+    """
 
     worker_id: str
     task: TaskName
@@ -34,7 +62,19 @@
 
 @frozen
 class PaceRun:
-    """Let a run work at a share of its speed."""
+    """Order to limit a run to a percentage of its full speed.
+
+    Attributes
+    ----------
+    worker_id : str
+        Id of the worker.
+    task : TaskName
+        Name of the task.
+    run : int
+        Number of the run.
+    percent : int
+        Percentage of full speed; 0 pauses the run.
+    """
 
     worker_id: str
     task: TaskName
@@ -43,19 +83,54 @@
 
 
 @frozen
-class AskAdvice:
-    """Ask which of some workers may run a step."""
+class RequestAdvice:
+    """Order to ask the advice service which workers may run a step.
+
+    Attributes
+    ----------
+    step : StepName
+        The step.
+    worker_ids : tuple of str
+        Ids of the workers to ask about.
+    expected_duration_s : float
+        Expected duration of the request by `AdviceTiming.call_duration_s`, in seconds.
+    """
 
     step: StepName
     worker_ids: tuple[str, ...]
-    cost_s: float
+    expected_duration_s: float
 
 
-Order = StartRun | StopRun | PaceRun | AskAdvice
+Order = StartRun | StopRun | PaceRun | RequestAdvice
 
 
 class StartOutcome(Enum):
-    """What became of an order to start."""
+    """Outcome of a start order.
+
+    Attributes
+    ----------
+    STARTED
+        The run has started.
+    FENCED
+        The worker has seen a higher fencing token.
+    STALE_RUN
+        The worker has already ended a run of the task with this or a higher number.
+    EXPIRED
+        The order arrived after the end of its lease.
+    NO_ROOM
+        The worker lacks free resources.
+    TICKET_REFUSED
+        The worker rejected the ticket, or it expired before the order was sent.
+    UNHEALTHY
+        The order was not delivered, or the worker refuses new runs for now; the run
+        has not started.
+    OTHER_BOOT
+        Another worker instance answers at the address.
+    INVALID
+        The worker rejects the order as invalid.
+    UNKNOWN
+        No conclusive answer arrived, so the run may have started.
+    """
 
     STARTED = "started"
     FENCED = "fenced"
@@ -70,7 +145,26 @@
 
 
 class EndKind(Enum):
-    """How a run ended."""
+    """How a run ended.
+
+    Attributes
+    ----------
+    DONE
+        The task has completed.
+    FAILED
+        The task has failed.
+    STOPPED
+        The run was stopped by an order.
+    LEASE_LAPSED
+        The worker killed the run because its lease was not renewed.
+    GANG_BROKEN
+        The worker reports that the run's gang was broken.
+    GANG_INCOMPLETE
+        The worker reports that the run's gang was incomplete.
+    VANISHED
+        The worker no longer reports the run, the worker's lease has certainly lapsed,
+        or another worker instance answers at its address.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -82,7 +176,15 @@
 
 
 class WorkerState(Enum):
-    """What a worker says of itself."""
+    """State of a worker, as its registration gives it.
+
+    Attributes
+    ----------
+    READY
+        The worker accepts new tasks.
+    DRAINING
+        The worker leaves soon and accepts no new tasks.
+    """
 
     READY = "ready"
     DRAINING = "draining"
@@ -95,23 +197,23 @@
     Attributes
     ----------
     worker_id : str
-        Its id; a restart may keep it.
+        Id of the worker; a restarted worker may keep it.
     pool : str
-        The service that it serves.
+        Pool that the worker belongs to.
     address : str
-        ``ip:port`` of its interface.
+        ``ip:port`` of the worker's interface.
     zone : str
-        Its failure domain.
+        Failure domain of the worker.
     state : WorkerState
-        Whether it takes new tasks.
+        Whether the worker accepts new tasks.
     capacity : Resources
-        What it has.
+        Total resources of the worker.
     labels : tuple of str
-        Its kind and its rack.
+        Kind of the worker, and its rack as the last label.
     started_ms : int
-        Start of this life, in Unix milliseconds; 0 if not told.
+        Start of the worker's incarnation, in Unix milliseconds; 0 if not given.
     remaining_s : float or None
-        Least time until a draining worker leaves, in seconds.
+        Minimum time until a draining worker leaves, in seconds; None if not given.
     """
 
     worker_id: str
@@ -126,22 +228,23 @@
 
 
 @frozen
-class RunningRow:
-    """One run that a worker reports as present.
+class ReportedRun:
+    """A run that a worker reports as present.
 
     Attributes
     ----------
     task : TaskName
-        Its task.
+        Name of the task.
     run : int
-        Its number.
+        Number of the run.
     checkpoint : str
-        Its last checkpoint; empty if none.
+        Last checkpoint of the run; empty if it has none.
     progress_percent : int
-        How much it works, 100 for at full speed.
+        Percentage of the work that is done; for a task that does not end by itself,
+        its speed, where 100 is full speed.
     load : float or None
-        Tail latency in ms of a serving task; processors in use of any other, in
-        thousandths of a core.
+        Tail latency of a serving task in milliseconds; CPU usage of any other task in
+        thousandths of a core; None if not reported.
     """
 
     task: TaskName
@@ -152,24 +255,24 @@
 
 
 @frozen
-class EndedRow:
-    """One run that a worker reports as ended.
+class ReportedEnd:
+    """A run that a worker reports as ended.
 
     Attributes
     ----------
-    number : int
-        Rises within a life of the worker.
+    sequence_number : int
+        Number of the end, which rises within an incarnation of the worker.
     task : TaskName
-        Its task.
+        Name of the task.
     run : int
-        Its number.
+        Number of the run.
     kind : EndKind
-        How it ended.
+        How the run ended.
     checkpoint : str
-        Its last checkpoint; empty if none.
+        Last checkpoint of the run; empty if it has none.
     """
 
-    number: int
+    sequence_number: int
     task: TaskName
     run: int
     kind: EndKind
@@ -178,29 +281,38 @@
 
 @frozen
 class WorkerReport:
-    """What a worker answered to a look.
+    """A worker's answer when it is polled for its runs.
 
     Attributes
     ----------
     started_ms : int
-        Start of the life that answered, in Unix milliseconds; 0 if not told.
+        Start of the incarnation that answered, in Unix milliseconds; 0 if not given.
     clock_ms : int
-        The worker's clock, in ms.
-    running : tuple of RunningRow
-        Everything present.
-    ended : tuple of EndedRow
-        Ends that are not yet acknowledged.
+        Reading of the worker's own clock when it answered, in milliseconds; the ends
+        of leases are given on this clock.
+    running : tuple of ReportedRun
+        All runs that are present on the worker.
+    ended : tuple of ReportedEnd
+        Ends that the worker still lists because they were not acknowledged.
     """
 
     started_ms: int
     clock_ms: int
-    running: tuple[RunningRow, ...] = ()
-    ended: tuple[EndedRow, ...] = ()
+    running: tuple[ReportedRun, ...] = ()
+    ended: tuple[ReportedEnd, ...] = ()
 
 
 @frozen
 class Ticket:
-    """Leave to run a step on a worker until a time of the loop's clock."""
+    """Permission to run a step on a worker until a time on the event loop's clock.
+
+    Attributes
+    ----------
+    text : str
+        The ticket to send with a start order.
+    expires_s : float
+        When the ticket expires, on the event loop's clock.
+    """
 
     text: str
     expires_s: float
