--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -212,7 +212,7 @@
     def note_predecessor_gone(self) -> None:
         """Note that the former owner has surely stopped giving orders."""
         until_s = LoopClock().now() + self._predecessor_lease_s
-        self._scheduler.shorten_leases(until_s)
+        self._scheduler.bound_predecessor_leases(until_s)
 
     def take_row(self, key: str, value: bytes) -> None:
         """Take a stored row of the job table in, also ahead of the watch."""
@@ -249,7 +249,7 @@
             self._scheduler.open_due_steps(unix_time_s())
             self._pending = self._scheduler.count_pending()
             self._expire_jobs()
-            self._carry_out(self._scheduler.check_time())
+            self._carry_out(self._scheduler.check_timeouts())
             if self._scheduler.unrecorded:
                 self._committer.wake()
             for worker_id, link in self._links.items():
@@ -271,7 +271,7 @@
             await asyncio.sleep(WORKER_LIST_S)
 
     def _observe(self, entries: tuple[WorkerEntry, ...]) -> None:
-        for worker in self._scheduler.observe_workers(entries):
+        for worker in self._scheduler.update_registrations(entries):
             entry = worker.entry
             link = WorkerLink(
                 self._ports.workers,
@@ -280,16 +280,16 @@
                 self._terms.max_lease_s,
                 LinkEvents(
                     self._note_report,
-                    self._scheduler.note_failure_to_answer,
+                    self._scheduler.mark_worker_unresponsive,
                     self._note_replaced,
-                    self._scheduler.note_lease,
+                    self._scheduler.extend_lease,
                     self._note_fenced,
                 ),
                 self._losses,
             )
             self._links[entry.worker_id] = link
             self._supervisor.start(f"worker/{entry.worker_id}", link.run)
-        for worker_id in self._scheduler.forget_gone_workers():
+        for worker_id in self._scheduler.remove_gone_workers():
             self._links.pop(worker_id, None)
             self._supervisor.end(f"worker/{worker_id}")
         self._losses.workers = len(self._links)
@@ -301,7 +301,7 @@
         known = self._scheduler.workers.get(worker_id)
         if known is not None and known.started_ms not in (0, report.started_ms):
             self._links[worker_id].forget_ends()
-        orders = self._scheduler.note_report(worker_id, report, sent_s)
+        orders = self._scheduler.process_report(worker_id, report, sent_s)
         self._carry_out(orders)
         if known is not None:
             self._links[worker_id].is_busy = bool(known.runs)
@@ -310,7 +310,7 @@
         self._plan_due.set()
 
     def _note_replaced(self, worker_id: str) -> None:
-        self._scheduler.note_replaced(worker_id)
+        self._scheduler.mark_worker_replaced(worker_id)
         self._plan_due.set()
 
     def _note_fenced(self, worker_id: str) -> None:
@@ -407,7 +407,7 @@
         finally:
             tickets = None if advice is None else advice.tickets
             valid_s = 0.0 if advice is None else advice.valid_s
-            self._scheduler.note_advice(order, tickets, valid_s)
+            self._scheduler.process_advice(order, tickets, valid_s)
             self._plan_due.set()
 
     def _log_decisions(self) -> None:
--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -6,7 +6,7 @@
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import CellConfiguration, Queue
 from fuchsiadale.decision.workflow.decisions import Decision, DecisionLog
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.forecast import Forecast
 from fuchsiadale.decision.workflow.jobs import (
     Job,
@@ -46,7 +46,7 @@
         self.workers: dict[str, WorkerLedger] = {}
         self.live_steps: dict[StepName, Step] = {}
         self.usage = Usage()
-        self.durations = Durations()
+        self.durations = DurationModel()
         self.unrecorded: set[str] = set()
         self.retired_workers: set[str] = set()
         self.expired_jobs: dict[str, Job] = {}
--- a/src/fuchsiadale/decision/workflow/durations.py
+++ b/src/fuchsiadale/decision/workflow/durations.py
@@ -23,7 +23,7 @@
 
 
 @define
-class _Fit:
+class _QueueRegression:
     """Weighted sums over the steps of a queue, of logarithms.
 
     Attributes
@@ -40,40 +40,42 @@
         Sum of products of both deviations.
     """
 
-    weight: float = 0.0
-    estimate: float = 0.0
-    ratio: float = 0.0
-    spread: float = 0.0
-    product: float = 0.0
+    total_weight: float = 0.0
+    mean_estimate: float = 0.0
+    mean_ratio: float = 0.0
+    squared_deviations: float = 0.0
+    deviation_products: float = 0.0
 
     def observe(self, estimate: float, ratio: float, weight: float) -> None:
         """Count a task (West, "Updating mean and variance estimates", CACM, 1979)."""
-        if self.weight > MAX_WEIGHT:
-            kept = MAX_WEIGHT / self.weight
-            self.weight *= kept
-            self.spread *= kept
-            self.product *= kept
-        self.weight += weight
-        share = weight / self.weight
-        deviation = estimate - self.estimate
-        self.estimate += share * deviation
-        self.spread += weight * deviation * (estimate - self.estimate)
-        self.product += weight * deviation * (ratio - self.ratio)
-        self.ratio += share * (ratio - self.ratio)
-
-    def correct(self, estimate: float) -> float:
+        if self.total_weight > MAX_WEIGHT:
+            kept = MAX_WEIGHT / self.total_weight
+            self.total_weight *= kept
+            self.squared_deviations *= kept
+            self.deviation_products *= kept
+        self.total_weight += weight
+        share = weight / self.total_weight
+        deviation = estimate - self.mean_estimate
+        self.mean_estimate += share * deviation
+        self.squared_deviations += weight * deviation * (estimate - self.mean_estimate)
+        self.deviation_products += weight * deviation * (ratio - self.mean_ratio)
+        self.mean_ratio += share * (ratio - self.mean_ratio)
+
+    def predict(self, estimate: float) -> float:
         """Return the logarithm of the duration to expect."""
-        offset = self.ratio * self.weight / (self.weight + PRIOR_WEIGHT)
-        slope = self.product / (self.spread + PRIOR_WEIGHT)
+        offset = (
+            self.mean_ratio * self.total_weight / (self.total_weight + PRIOR_WEIGHT)
+        )
+        slope = self.deviation_products / (self.squared_deviations + PRIOR_WEIGHT)
         slope = min(0.0, max(-1.0, slope))
-        return estimate + offset + slope * (estimate - self.estimate)
+        return estimate + offset + slope * (estimate - self.mean_estimate)
 
 
-class Durations:
+class DurationModel:
     """Foretells how long tasks take, by queue and estimate."""
 
     def __init__(self) -> None:
-        self._fits: dict[str, _Fit] = {}
+        self._regressions: dict[str, _QueueRegression] = {}
 
     def observe(
         self, queue: str, estimated_s: float, ran_s: float, weight: float
@@ -95,13 +97,15 @@
             return
         estimate = log(max(estimated_s, MIN_DURATION_S))
         ratio = log(max(ran_s, MIN_DURATION_S)) - estimate
-        self._fits.setdefault(queue, _Fit()).observe(estimate, ratio, weight)
+        self._regressions.setdefault(queue, _QueueRegression()).observe(
+            estimate, ratio, weight
+        )
 
-    def expect_s(self, queue: str, estimated_s: float) -> float:
+    def predict_s(self, queue: str, estimated_s: float) -> float:
         """Return how long a task will run, in seconds; 0 if nothing is known."""
-        fit = self._fits.get(queue)
+        fit = self._regressions.get(queue)
         if fit is None:
             return estimated_s
         if estimated_s <= 0.0:
-            return exp(fit.estimate + fit.ratio)
-        return exp(fit.correct(log(max(estimated_s, MIN_DURATION_S))))
+            return exp(fit.mean_estimate + fit.mean_ratio)
+        return exp(fit.predict(log(max(estimated_s, MIN_DURATION_S))))
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -14,22 +14,22 @@
 
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import Queue
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.jobs import Job, Step
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.placement import places
+from fuchsiadale.decision.workflow.placement import count_fitting_tasks
 
 WAVE_SHARE = 0.25
 """Share of a pool that a step may take before it counts in waves, by contract."""
 
 
 @frozen
-class _Outlook:
+class _OccurrenceForecast:
     """What lies ahead of an occurrence after some tasks of its job were done."""
 
     done_tasks: int
     due_s: float
-    chain_s: float
+    critical_path_s: float
     work_s: float
 
 
@@ -48,97 +48,105 @@
 
     def __init__(
         self,
-        durations: Durations,
+        durations: DurationModel,
         workers: dict[str, list[WorkerLedger]],
         limit_of: Callable[[str], Resources],
     ) -> None:
         self._durations = durations
         self._workers = workers
         self._limit_of = limit_of
-        self._places: dict[tuple[str, Resources], int] = {}
-        self._step_s: dict[Step, float] = {}
-        self._outlooks: dict[tuple[str, int], _Outlook] = {}
+        self._pool_places_cache: dict[tuple[str, Resources], int] = {}
+        self._predicted_task_s: dict[Step, float] = {}
+        self._occurrence_forecasts: dict[tuple[str, int], _OccurrenceForecast] = {}
 
-    def step_s(self, step: Step) -> float:
+    def predict_task_s(self, step: Step) -> float:
         """Return how long a task of a step takes, in seconds."""
         if step.ended_runs:
             return step.ended_runs_s / step.ended_runs
-        known_s = self._step_s.get(step)
-        if known_s is None:
+        predicted_s = self._predicted_task_s.get(step)
+        if predicted_s is None:
             queue = step.job.record.queue
             estimated_s = step.specification.estimated_s
-            known_s = self._durations.expect_s(queue, estimated_s)
-            self._step_s[step] = known_s
-        return known_s
+            predicted_s = self._durations.predict_s(queue, estimated_s)
+            self._predicted_task_s[step] = predicted_s
+        return predicted_s
 
     def due_s(self, job: Job, occurrence: int, queue: Queue) -> float:
         """Return when an occurrence's objective lapses, on the loop's clock."""
-        return self._outlook(job, occurrence, queue).due_s
+        return self._forecast_occurrence(job, occurrence, queue).due_s
 
-    def remaining_chain_s(self, job: Job, occurrence: int, queue: Queue) -> float:
+    def remaining_critical_path_s(
+        self, job: Job, occurrence: int, queue: Queue
+    ) -> float:
         """Return the longest chain of work that is not done, in seconds."""
-        return self._outlook(job, occurrence, queue).chain_s
+        return self._forecast_occurrence(job, occurrence, queue).critical_path_s
 
     def remaining_work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
         """Return the seconds for which remaining work would fill the whole pool."""
-        return self._outlook(job, occurrence, queue).work_s
+        return self._forecast_occurrence(job, occurrence, queue).work_s
 
-    def _outlook(self, job: Job, occurrence: int, queue: Queue) -> _Outlook:
+    def _forecast_occurrence(
+        self, job: Job, occurrence: int, queue: Queue
+    ) -> _OccurrenceForecast:
         key = (job.record.job_id, occurrence)
-        known = self._outlooks.get(key)
-        if known is None or known.done_tasks != job.done_tasks:
-            whole_s = self._longest_chain_s(job, occurrence, queue, is_whole=True)
-            begin_s = job.occurrence_begins_s(occurrence)
-            known = _Outlook(
+        cached = self._occurrence_forecasts.get(key)
+        if cached is None or cached.done_tasks != job.done_tasks:
+            total_s = self._critical_path_s(job, occurrence, queue, from_start=True)
+            begins_s = job.occurrence_begins_s(occurrence)
+            cached = _OccurrenceForecast(
                 job.done_tasks,
-                begin_s + queue.stretch * whole_s + queue.slack_s,
-                self._longest_chain_s(job, occurrence, queue, is_whole=False),
-                self._work_s(job, occurrence, queue),
+                begins_s + queue.stretch * total_s + queue.slack_s,
+                self._critical_path_s(job, occurrence, queue, from_start=False),
+                self._remaining_work_s(job, occurrence, queue),
             )
-            self._outlooks[key] = known
-        return known
+            self._occurrence_forecasts[key] = cached
+        return cached
 
-    def _work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
+    def _remaining_work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
         work_s = 0.0
         for step in job.occurrence_steps(occurrence):
-            left = len(step.tasks) - step.done_count
-            room = self._room(queue.pool, step.specification.charged)
-            work_s += left * self.step_s(step) / max(room, 1)
+            remaining_tasks = len(step.tasks) - step.done_count
+            pool_places = self._count_pool_places(
+                queue.pool, step.specification.charged
+            )
+            work_s += remaining_tasks * self.predict_task_s(step) / max(pool_places, 1)
         return work_s
 
-    def _longest_chain_s(
-        self, job: Job, occurrence: int, queue: Queue, is_whole: bool
+    def _critical_path_s(
+        self, job: Job, occurrence: int, queue: Queue, from_start: bool
     ) -> float:
         lengths: list[float] = []
         for step in job.occurrence_steps(occurrence):
-            before = max(
+            predecessors_s = max(
                 (lengths[index] for index in step.specification.after), default=0.0
             )
             own_s = 0.0
-            if is_whole:
-                own_s = self.step_s(step) * self._waves(step, queue)
+            if from_start:
+                own_s = self.predict_task_s(step) * self._count_waves(step, queue)
             elif not step.is_done:
-                own_s = self.step_s(step)
-            lengths.append(before + own_s)
+                own_s = self.predict_task_s(step)
+            lengths.append(predecessors_s + own_s)
         return max(lengths, default=0.0)
 
-    def _waves(self, step: Step, queue: Queue) -> int:
+    def _count_waves(self, step: Step, queue: Queue) -> int:
         specification = step.specification
-        room = self._room(queue.pool, specification.charged)
-        at_once = WAVE_SHARE * room
+        pool_places = self._count_pool_places(queue.pool, specification.charged)
+        concurrent_tasks = WAVE_SHARE * pool_places
         limit = self._limit_of(step.job.record.workspace)
         if limit != NO_LIMIT:
-            at_once = min(at_once, places(limit, specification.request))
-        return ceil(specification.count / max(at_once, 1.0))
+            concurrent_tasks = min(
+                concurrent_tasks, count_fitting_tasks(limit, specification.request)
+            )
+        return ceil(specification.count / max(concurrent_tasks, 1.0))
 
-    def _room(self, pool: str, needed: Resources) -> int:
+    def _count_pool_places(self, pool: str, needed: Resources) -> int:
         """Return how many such tasks a pool can run at once."""
         key = (pool, needed)
-        room = self._places.get(key)
-        if room is None:
-            room = sum(
-                places(worker.entry.capacity, needed)
+        pool_places = self._pool_places_cache.get(key)
+        if pool_places is None:
+            pool_places = sum(
+                count_fitting_tasks(worker.entry.capacity, needed)
                 for worker in self._workers.get(pool, ())
             )
-            self._places[key] = room
-        return room
+            self._pool_places_cache[key] = pool_places
+        return pool_places
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -14,9 +14,9 @@
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.forecast import Forecast
 from fuchsiadale.decision.workflow.jobs import Job, Step
-from fuchsiadale.decision.workflow.triage import Demand, jobs_to_defer
+from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 
-ESTIMATE_TRUST = 0.7
+LEAST_DURATION_SHARE = 0.7
 """Share of an estimate that work surely takes: callers are off by half on average."""
 
 
@@ -39,19 +39,21 @@
     step: Step
     queue: Queue
     due_s: float
-    is_hopeless: bool
+    is_infeasible: bool
 
 
-def is_hopeless(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
+def is_infeasible(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
     """Tell whether a step's job cannot meet its objective any more."""
     if step.specification.is_lasting:
         return False
     job, occurrence = step.job, step.name.occurrence
-    left_s = ESTIMATE_TRUST * forecast.remaining_chain_s(job, occurrence, queue)
-    return now_s + left_s > forecast.due_s(job, occurrence, queue)
+    least_remaining_s = LEAST_DURATION_SHARE * forecast.remaining_critical_path_s(
+        job, occurrence, queue
+    )
+    return now_s + least_remaining_s > forecast.due_s(job, occurrence, queue)
 
 
-def in_order(
+def sort_waiting_steps(
     steps: Iterable[Step],
     queue_of: Callable[[Job], Queue | None],
     forecast: Forecast,
@@ -75,44 +77,46 @@
         queue = queue_of(step.job) if step.waiting else None
         if queue is not None:
             due_s = forecast.due_s(step.job, step.name.occurrence, queue)
-            hopeless = is_hopeless(step, queue, forecast, now_s)
-            waiting.append(WaitingStep(step, queue, due_s, hopeless))
-    deferred = _deferred(waiting, forecast, now_s)
-    waiting.sort(key=lambda item: _rank(item, deferred))
+            infeasible = is_infeasible(step, queue, forecast, now_s)
+            waiting.append(WaitingStep(step, queue, due_s, infeasible))
+    deferred = _find_deferred_jobs(waiting, forecast, now_s)
+    waiting.sort(key=lambda item: _sort_key(item, deferred))
     return waiting
 
 
-def _rank(
+def _sort_key(
     waiting: WaitingStep, deferred: set[str]
 ) -> tuple[bool, int, bool, bool, float, str]:
     job = waiting.step.job
     return (
         job.is_excess,
         waiting.queue.priority,
-        waiting.is_hopeless,
+        waiting.is_infeasible,
         job.record.job_id in deferred,
         waiting.due_s,
         str(waiting.step.name),
     )
 
 
-def _deferred(waiting: list[WaitingStep], forecast: Forecast, now_s: float) -> set[str]:
+def _find_deferred_jobs(
+    waiting: list[WaitingStep], forecast: Forecast, now_s: float
+) -> set[str]:
     """Return the jobs that have to wait so that most of their urgency are in time."""
     demands: dict[tuple[str, int], dict[str, Demand]] = {}
     for item in waiting:
         job, step, queue = item.step.job, item.step, item.queue
-        if item.is_hopeless or job.is_excess or step.specification.is_lasting:
+        if item.is_infeasible or job.is_excess or step.specification.is_lasting:
             continue
         occurrence = step.name.occurrence
         group = demands.setdefault((queue.pool, queue.priority), {})
-        chain_s = forecast.remaining_chain_s(job, occurrence, queue)
+        critical_path_s = forecast.remaining_critical_path_s(job, occurrence, queue)
         group[job.record.job_id] = Demand(
             job.record.job_id,
             forecast.remaining_work_s(job, occurrence, queue),
-            ESTIMATE_TRUST * chain_s,
+            LEAST_DURATION_SHARE * critical_path_s,
             item.due_s,
         )
     deferred: set[str] = set()
     for group in demands.values():
-        deferred |= jobs_to_defer(group.values(), now_s)
+        deferred |= select_deferred_jobs(group.values(), now_s)
     return deferred
--- a/src/fuchsiadale/decision/workflow/pacing.py
+++ b/src/fuchsiadale/decision/workflow/pacing.py
@@ -11,29 +11,29 @@
 from fuchsiadale.decision.workflow.jobs import Run, RunState
 from fuchsiadale.decision.workflow.messages import PaceRun
 
-SLOW_SHARE = 0.85
+SLOWDOWN_SHARE = 0.85
 """Share of a target from which filling work is slowed to half its pace."""
 
-CALM_SHARE = 0.6
+SPEEDUP_SHARE = 0.6
 """Share of a target below which filling work is let work faster again."""
 
-RISE_PERCENT = 20
+PACE_STEP_PERCENT = 20
 """How much faster filling work is let work at each calm report."""
 
 FULL_PERCENT = 100
 MS_PER_S = 1000.0
 
 
-def pace_orders(runs: Iterable[Run]) -> list[PaceRun]:
+def adjust_filler_paces(runs: Iterable[Run]) -> list[PaceRun]:
     """Return the orders that fit what a worker's runs report."""
-    present = [run for run in runs if run.state is RunState.RUNNING]
-    fillers = [run for run in present if run.task.step.specification.is_filler]
+    running = [run for run in runs if run.state is RunState.RUNNING]
+    fillers = [run for run in running if run.task.step.specification.is_filler]
     if not fillers:
         return []
-    pressure = max((_pressure(run) for run in present), default=0.0)
+    latency_ratio = max((_latency_ratio(run) for run in running), default=0.0)
     orders = []
     for run in fillers:
-        percent = _next_percent(run.pace_percent, pressure)
+        percent = _next_pace_percent(run.pace_percent, latency_ratio)
         if percent != run.pace_percent:
             run.pace_percent = percent
             order = PaceRun(run.worker_id, run.task.name, run.number, percent)
@@ -41,7 +41,7 @@
     return orders
 
 
-def _pressure(run: Run) -> float:
+def _latency_ratio(run: Run) -> float:
     """Return a serving run's tail latency as a share of its target."""
     target_s = run.task.step.specification.target_s
     if not target_s or run.load is None:
@@ -49,11 +49,11 @@
     return run.load / (MS_PER_S * target_s)
 
 
-def _next_percent(percent: int, pressure: float) -> int:
-    if pressure >= 1.0:
+def _next_pace_percent(percent: int, latency_ratio: float) -> int:
+    if latency_ratio >= 1.0:
         return 0
-    if pressure >= SLOW_SHARE:
+    if latency_ratio >= SLOWDOWN_SHARE:
         return percent // 2
-    if pressure < CALM_SHARE:
-        return min(FULL_PERCENT, percent + RISE_PERCENT)
+    if latency_ratio < SPEEDUP_SHARE:
+        return min(FULL_PERCENT, percent + PACE_STEP_PERCENT)
     return percent
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -8,13 +8,13 @@
 from fuchsiadale.decision.workflow.jobs import Step, Task
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 
-FAILED_HERE_PENALTY = 100.0
+EARLIER_FAILURE_PENALTY = 100.0
 """Score added where the task has failed before; above every other term."""
 
-CROWDING_PENALTY = 10.0
+INTERFERENCE_PENALTY = 10.0
 """Score added where filling and serving tasks would disturb each other."""
 
-REMOTE_PENALTY = 1.0
+OTHER_RACK_PENALTY = 1.0
 """Score added outside the preferred rack; above any difference in fit."""
 
 
@@ -27,7 +27,7 @@
 
 
 def choose_worker(
-    task: Task, workers: Iterable[WorkerLedger], kept_share: float = 0.0
+    task: Task, workers: Iterable[WorkerLedger], headroom_share: float = 0.0
 ) -> WorkerLedger | None:
     """Return the worker with room that fits a task best, or None.
 
@@ -48,7 +48,7 @@
     for worker in workers:
         if not _has_room(step, worker, worker.free, 0):
             continue
-        if kept_share and not _keeps(step, worker, kept_share):
+        if headroom_share and not _leaves_headroom(step, worker, headroom_share):
             continue
         score = _score(task, worker)
         if score < best_score:
@@ -56,7 +56,7 @@
     return best
 
 
-def choose_gang(
+def choose_gang_workers(
     tasks: list[Task], workers: Iterable[WorkerLedger]
 ) -> list[tuple[Task, WorkerLedger]] | None:
     """Return workers for all tasks of a gang, or None if they do not fit at once.
@@ -67,20 +67,20 @@
     if tasks[0].step.specification.same_rack:
         for rack in sorted({worker.rack for worker in candidates}):
             on_rack = [worker for worker in candidates if worker.rack == rack]
-            placements = _fit_all(tasks, on_rack)
+            placements = _place_all(tasks, on_rack)
             if placements is not None:
                 return placements
-    return _fit_all(tasks, candidates)
+    return _place_all(tasks, candidates)
 
 
-def _fit_all(
+def _place_all(
     tasks: list[Task], workers: list[WorkerLedger]
 ) -> list[tuple[Task, WorkerLedger]] | None:
     step = tasks[0].step
     free: dict[str, Resources] = {
         worker.entry.worker_id: worker.free for worker in workers
     }
-    placed: dict[str, int] = {}
+    placed_counts: dict[str, int] = {}
     placements: list[tuple[Task, WorkerLedger]] = []
     for task in tasks:
         options = [
@@ -90,7 +90,7 @@
                 step,
                 worker,
                 free[worker.entry.worker_id],
-                placed.get(worker.entry.worker_id, 0),
+                placed_counts.get(worker.entry.worker_id, 0),
             )
         ]
         if not options:
@@ -98,23 +98,25 @@
         worker = min(options, key=lambda option: _score(task, option))
         worker_id = worker.entry.worker_id
         free[worker_id] = free[worker_id] - step.specification.charged
-        placed[worker_id] = placed.get(worker_id, 0) + 1
+        placed_counts[worker_id] = placed_counts.get(worker_id, 0) + 1
         placements.append((task, worker))
     return placements
 
 
-def _has_room(step: Step, worker: WorkerLedger, free: Resources, placed: int) -> bool:
+def _has_room(
+    step: Step, worker: WorkerLedger, free: Resources, planned_here: int
+) -> bool:
     needed = step.specification
     if not needed.charged.fits_in(free):
         return False
     if not needed.max_per_worker:
         return True
     name = step.name
-    present = worker.count_step(name.job_id, name.occurrence, name.step)
-    return present + placed < needed.max_per_worker
+    running_here = worker.count_step(name.job_id, name.occurrence, name.step)
+    return running_here + planned_here < needed.max_per_worker
 
 
-def _keeps(step: Step, worker: WorkerLedger, share: float) -> bool:
+def _leaves_headroom(step: Step, worker: WorkerLedger, share: float) -> bool:
     if not worker.runs:
         return True
     left = worker.free - step.specification.charged
@@ -131,27 +133,27 @@
     capacity = worker.entry.capacity
     score = left.dominant_share(capacity)
     if worker.entry.worker_id in task.failed_on:
-        score += FAILED_HERE_PENALTY
+        score += EARLIER_FAILURE_PENALTY
     if needed.preferred_rack and needed.preferred_rack != worker.rack:
-        score += REMOTE_PENALTY
-    if needed.is_filler and any(_serves(run.task) for run in worker.runs.values()):
-        score += CROWDING_PENALTY
+        score += OTHER_RACK_PENALTY
+    if needed.is_filler and any(_is_serving(run.task) for run in worker.runs.values()):
+        score += INTERFERENCE_PENALTY
     if needed.target_s and any(
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
-        score += CROWDING_PENALTY
+        score += INTERFERENCE_PENALTY
     return score + worker.failure_score + worker.slowness
 
 
-def _serves(task: Task) -> bool:
+def _is_serving(task: Task) -> bool:
     return task.step.specification.target_s > 0.0
 
 
-def places(free: Resources, needed: Resources) -> int:
+def count_fitting_tasks(free: Resources, needed: Resources) -> int:
     """Return how many tasks fit into some room."""
     counts = [
-        have // need
-        for have, need in (
+        available // need
+        for available, need in (
             (free.cpu_millis, needed.cpu_millis),
             (free.memory_mb, needed.memory_mb),
             (free.accelerators, needed.accelerators),
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -10,76 +10,76 @@
 from fuchsiadale.decision.workflow.jobs import Run, Step, Task
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 from fuchsiadale.decision.workflow.messages import AskAdvice, Order
-from fuchsiadale.decision.workflow.ordering import WaitingStep, in_order
+from fuchsiadale.decision.workflow.ordering import WaitingStep, sort_waiting_steps
 from fuchsiadale.decision.workflow.placement import (
-    choose_gang,
+    choose_gang_workers,
     choose_worker,
+    count_fitting_tasks,
     is_suitable,
-    places,
 )
-from fuchsiadale.decision.workflow.preemption import RoomMaker
+from fuchsiadale.decision.workflow.preemption import Preemptor
 from fuchsiadale.decision.workflow.scheduler import Scheduler
 
-MAX_ADVISED = 30
+MAX_WORKERS_PER_ADVICE_CALL = 30
 """Workers named in one call for advice: what the objective allows for."""
 
-MAX_HOLDERS = 1
+MAX_RESERVING_STEPS = 1
 """Steps that may hold workers free at once in each pool; idle room serves nobody."""
 
-LARGE_SHARE = 0.5
+LARGE_TASK_SHARE = 0.5
 """Share of a worker from which a task finds room only if it is held for it."""
 
-CLAIMED = -1
+PREEMPTION_RESERVATION = -1
 """Urgency of a claim: nothing is placed on a worker where room is being made."""
 
-DEAR_ADVICE_S = 0.1
+EXPENSIVE_ADVICE_S = 0.1
 """Cost from which a call for advice may not take the last lanes."""
 
-CHEAP_LANES = 2
+CALLS_KEPT_FOR_CHEAP_ADVICE = 2
 """Lanes kept for cheap calls, which urgent steps wait for."""
 
 
-FRONT_STEPS = 3
+MAX_RENEWING_STEPS = 3
 """Waiting steps of a pool whose tickets are renewed before there is room for them."""
 
-RENEWAL_SHARE = 0.5
+RENEWAL_CALL_SHARE = 0.5
 """Share of the lanes that renewals may take; first calls for a step come before."""
 
 RENEWAL_MARGIN_S = 0.1
 """Seconds before it is needed at which a renewed ticket should be there."""
 
-MAX_UNPLACED = 24
+MAX_UNPLACED_STEPS = 24
 """Steps of one urgency in a pool that are tried in vain before the rest is left."""
 
 
-KEPT_SHARE = 0.15
+URGENT_HEADROOM_SHARE = 0.15
 """Share of a worker that work which cannot be stopped leaves to urgent work."""
 
 
 @define
-class _Round:
+class _PlanState:
     """What one plan has used up so far."""
 
     now_s: float
-    advice_lanes: int
-    usable: dict[str, list[WorkerLedger]]
-    room: RoomMaker
-    held: dict[str, int] = Factory(dict)
-    holders: dict[str, int] = Factory(dict)
-    unplaced: dict[tuple[str, int], int] = Factory(dict)
-    front: dict[str, int] = Factory(dict)
-
-    def is_held(self, worker: WorkerLedger, priority: int) -> bool:
+    max_advice_calls: int
+    usable_workers: dict[str, list[WorkerLedger]]
+    preemptor: Preemptor
+    reservations: dict[str, int] = Factory(dict)
+    reserving_steps: dict[str, int] = Factory(dict)
+    unplaced_steps: dict[tuple[str, int], int] = Factory(dict)
+    renewing_steps: dict[str, int] = Factory(dict)
+
+    def is_reserved_against(self, worker: WorkerLedger, priority: int) -> bool:
         """Tell whether a worker is kept free for more urgent work."""
-        return self.held.get(worker.entry.worker_id, priority) < priority
+        return self.reservations.get(worker.entry.worker_id, priority) < priority
 
-    def takes_front(self, waiting: WaitingStep) -> bool:
+    def may_renew_tickets(self, waiting: WaitingStep) -> bool:
         """Tell whether a step is among the first of its pool that wait for room."""
-        if waiting.is_hopeless or waiting.step.job.is_excess:
+        if waiting.is_infeasible or waiting.step.job.is_excess:
             return False
         pool = waiting.queue.pool
-        self.front[pool] = self.front.get(pool, 0) + 1
-        return self.front[pool] <= FRONT_STEPS
+        self.renewing_steps[pool] = self.renewing_steps.get(pool, 0) + 1
+        return self.renewing_steps[pool] <= MAX_RENEWING_STEPS
 
 
 class Planner:
@@ -94,7 +94,7 @@
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
 
-    def plan(self, advice_lanes: int) -> list[Order]:
+    def plan(self, max_advice_calls: int) -> list[Order]:
         """Start what can start now.
 
         Parameters
@@ -109,95 +109,99 @@
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
-        usable: dict[str, list[WorkerLedger]] = {}
+        usable_workers: dict[str, list[WorkerLedger]] = {}
         for worker in scheduler.workers.values():
             if worker.is_usable(now_s):
-                usable.setdefault(worker.entry.pool, []).append(worker)
-        room = RoomMaker(scheduler.queue_of, now_s)
-        current = _Round(now_s, advice_lanes, usable, room)
+                usable_workers.setdefault(worker.entry.pool, []).append(worker)
+        preemptor = Preemptor(scheduler.queue_of, now_s)
+        state = _PlanState(now_s, max_advice_calls, usable_workers, preemptor)
         steps = scheduler.live_steps.values()
         forecast = scheduler.forecast()
-        for waiting in in_order(steps, scheduler.queue_of, forecast, now_s):
+        for waiting in sort_waiting_steps(steps, scheduler.queue_of, forecast, now_s):
             group = (waiting.queue.pool, waiting.queue.priority)
-            if current.unplaced.get(group, 0) >= MAX_UNPLACED:
+            if state.unplaced_steps.get(group, 0) >= MAX_UNPLACED_STEPS:
                 continue
-            left = len(waiting.step.waiting)
-            self._plan_step(waiting, current)
-            if len(waiting.step.waiting) == left:
-                current.unplaced[group] = current.unplaced.get(group, 0) + 1
+            waiting_before = len(waiting.step.waiting)
+            self._plan_step(waiting, state)
+            if len(waiting.step.waiting) == waiting_before:
+                state.unplaced_steps[group] = state.unplaced_steps.get(group, 0) + 1
         return scheduler.take_orders()
 
-    def _plan_step(self, waiting: WaitingStep, current: _Round) -> None:
+    def _plan_step(self, waiting: WaitingStep, state: _PlanState) -> None:
         step = waiting.step
         workers = [
             worker
-            for worker in current.usable.get(waiting.queue.pool, [])
-            if not current.is_held(worker, waiting.queue.priority)
+            for worker in state.usable_workers.get(waiting.queue.pool, [])
+            if not state.is_reserved_against(worker, waiting.queue.priority)
             and is_suitable(step, worker)
         ]
         if step.specification.is_gang:
-            self._plan_gang(waiting, workers, current)
+            self._plan_gang(waiting, workers, state)
         else:
-            self._plan_tasks(waiting, workers, current)
+            self._plan_tasks(waiting, workers, state)
 
     def _plan_tasks(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[WorkerLedger], state: _PlanState
     ) -> None:
         step = waiting.step
-        allowed = _with_tickets(waiting, workers, current.now_s)
-        kept_share = _kept_share(waiting)
+        allowed = _workers_with_tickets(waiting, workers, state.now_s)
+        headroom_share = _required_headroom_share(waiting)
         for task in list(step.waiting.values()):
             if not self._is_within_limit(step, 1):
                 return
-            worker = choose_worker(task, allowed, kept_share)
+            worker = choose_worker(task, allowed, headroom_share)
             if worker is None:
                 break
             self._scheduler.place(task, worker, self._scheduler.next_run([task]))
         if not step.waiting:
             return
-        if allowed and not waiting.is_hopeless:
-            self._make_room(waiting, allowed, len(step.waiting), current)
+        if allowed and not waiting.is_infeasible:
+            self._preempt_runs(waiting, allowed, len(step.waiting), state)
         if waiting.queue.advice is not None:
-            self._ask(waiting, workers, 1, current)
-        if not waiting.is_hopeless and _is_large(step, workers):
-            self._hold_room(waiting, workers, 1, current)
+            self._request_advice(waiting, workers, 1, state)
+        if not waiting.is_infeasible and _has_large_tasks(step, workers):
+            self._reserve_workers(waiting, workers, 1, state)
 
     def _plan_gang(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[WorkerLedger], state: _PlanState
     ) -> None:
         step = waiting.step
         if len(step.waiting) < len(step.tasks):
             return
         if not self._is_within_limit(step, len(step.tasks)):
             return
-        allowed = _with_tickets(waiting, workers, current.now_s)
-        placements = choose_gang(step.tasks, allowed)
+        allowed = _workers_with_tickets(waiting, workers, state.now_s)
+        placements = choose_gang_workers(step.tasks, allowed)
         if placements is not None:
             self._start_gang(step, placements)
             return
-        if not waiting.is_hopeless:
-            made = self._make_room(waiting, allowed, len(step.tasks), current)
-            if made:
+        if not waiting.is_infeasible:
+            will_have_room = self._preempt_runs(
+                waiting, allowed, len(step.tasks), state
+            )
+            if will_have_room:
                 return
         if waiting.queue.advice is not None:
-            self._ask(waiting, workers, len(step.tasks), current)
-        self._hold_room(waiting, workers, len(step.tasks), current)
+            self._request_advice(waiting, workers, len(step.tasks), state)
+        self._reserve_workers(waiting, workers, len(step.tasks), state)
 
-    def _hold_room(
+    def _reserve_workers(
         self,
         waiting: WaitingStep,
         workers: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        task_count: int,
+        state: _PlanState,
     ) -> None:
         """Keep workers free for a gang, or for a task that takes most of one."""
         pool = waiting.queue.pool
-        count = current.holders.get(pool, 0)
-        if count < MAX_HOLDERS:
-            current.holders[pool] = count + 1
+        reserving_steps = state.reserving_steps.get(pool, 0)
+        if reserving_steps < MAX_RESERVING_STEPS:
+            state.reserving_steps[pool] = reserving_steps + 1
             priority = waiting.queue.priority
-            for worker_id in _nearest_to_free(waiting.step, workers, tasks):
-                current.held.setdefault(worker_id, priority)
+            for worker_id in _select_workers_to_reserve(
+                waiting.step, workers, task_count
+            ):
+                state.reservations.setdefault(worker_id, priority)
 
     def _start_gang(
         self, step: Step, placements: list[tuple[Task, WorkerLedger]]
@@ -208,12 +212,12 @@
             task.checkpoint = checkpoint
             self._scheduler.place(task, worker, number)
 
-    def _make_room(
+    def _preempt_runs(
         self,
         waiting: WaitingStep,
         allowed: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        task_count: int,
+        state: _PlanState,
     ) -> bool:
         """Stop less urgent runs; tell whether room for every task will be free.
 
@@ -223,75 +227,79 @@
         needed = step.specification.charged
         priority = waiting.queue.priority
         claims: list[tuple[WorkerLedger, list[Run]]] = []
-        for _ in range(tasks):
-            claim = _cheapest_claim(current.room, allowed, needed, priority)
+        for _ in range(task_count):
+            claim = _claim_cheapest_room(state.preemptor, allowed, needed, priority)
             if claim is None:
                 break
             claims.append(claim)
-        is_whole = len(claims) == tasks
-        if step.specification.is_gang and not is_whole:
+        is_complete = len(claims) == task_count
+        if step.specification.is_gang and not is_complete:
             for worker, victims in claims:
-                current.room.release(worker, needed, victims)
+                state.preemptor.release_room(worker, needed, victims)
             return False
         for worker, victims in claims:
-            current.held[worker.entry.worker_id] = CLAIMED
+            state.reservations[worker.entry.worker_id] = PREEMPTION_RESERVATION
             for run in victims:
                 self._scheduler.preempt(run)
-        return is_whole
+        return is_complete
 
-    def _ask(
+    def _request_advice(
         self,
         waiting: WaitingStep,
         workers: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        task_count: int,
+        state: _PlanState,
     ) -> None:
         """Ask for tickets on workers that have, or can make, room for the step."""
         scheduler = self._scheduler
         step, advice = waiting.step, waiting.queue.advice
-        if advice is None or step.is_asking or current.now_s < step.ask_not_before_s:
+        if advice is None or step.is_asking or state.now_s < step.ask_not_before_s:
             return
         needed = step.specification.charged
-        priority = None if waiting.is_hopeless else waiting.queue.priority
-        is_front = current.takes_front(waiting)
-        is_front = is_front and scheduler.asking < RENEWAL_SHARE * current.advice_lanes
-        renewed_s = current.now_s + advice.base_s + RENEWAL_MARGIN_S
-        with_room = 0
-        named: list[tuple[int, str]] = []
+        priority = None if waiting.is_infeasible else waiting.queue.priority
+        may_renew = state.may_renew_tickets(waiting)
+        may_renew = (
+            may_renew and scheduler.asking < RENEWAL_CALL_SHARE * state.max_advice_calls
+        )
+        renewed_until_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
+        total_fitting = 0
+        candidates: list[tuple[int, str]] = []
         for worker in workers:
             worker_id = worker.entry.worker_id
             if step.advised.get(worker_id) is False:
                 continue
-            free = current.room.reachable(worker, priority, advice.base_s)
-            room = places(free, needed)
-            if step.has_ticket(worker_id, current.now_s):
-                with_room += room if tasks > 1 else 0
-                if is_front and not step.has_ticket(worker_id, renewed_s):
-                    named.append((-room, worker_id))
+            free = state.preemptor.find_attainable_room(worker, priority, advice.base_s)
+            fitting = count_fitting_tasks(free, needed)
+            if step.has_ticket(worker_id, state.now_s):
+                total_fitting += fitting if task_count > 1 else 0
+                if may_renew and not step.has_ticket(worker_id, renewed_until_s):
+                    candidates.append((-fitting, worker_id))
                 continue
-            with_room += room
+            total_fitting += fitting
             is_granted = step.advised.get(worker_id, False)
-            if room or worker_id not in step.advised or (is_front and is_granted):
-                named.append((-room, worker_id))
-        if (with_room < tasks and not is_front) or not named:
+            if fitting or worker_id not in step.advised or (may_renew and is_granted):
+                candidates.append((-fitting, worker_id))
+        if (total_fitting < task_count and not may_renew) or not candidates:
             return
-        named.sort()
-        chosen = tuple(worker_id for _, worker_id in named[:MAX_ADVISED])
+        candidates.sort()
+        chosen = tuple(
+            worker_id for _, worker_id in candidates[:MAX_WORKERS_PER_ADVICE_CALL]
+        )
         cost_s = advice.cost_s(len(chosen))
-        kept = CHEAP_LANES if cost_s >= DEAR_ADVICE_S else 0
-        if scheduler.asking >= max(1, current.advice_lanes - kept):
+        kept_calls = CALLS_KEPT_FOR_CHEAP_ADVICE if cost_s >= EXPENSIVE_ADVICE_S else 0
+        if scheduler.asking >= max(1, state.max_advice_calls - kept_calls):
             return
         step.is_asking = True
         scheduler.order(AskAdvice(step.name, chosen, cost_s))
 
-    def _is_within_limit(self, step: Step, tasks: int) -> bool:
+    def _is_within_limit(self, step: Step, task_count: int) -> bool:
         workspace = step.job.record.workspace
         limit = self._scheduler.limit_of(workspace)
-        amount = step.specification.request.times(tasks)
+        amount = step.specification.request.times(task_count)
         return self._scheduler.usage.allows(workspace, amount, limit)
 
 
-def _with_tickets(
+def _workers_with_tickets(
     waiting: WaitingStep, workers: list[WorkerLedger], now_s: float
 ) -> list[WorkerLedger]:
     """Return the workers that may run a step now."""
@@ -304,7 +312,7 @@
     ]
 
 
-def _kept_share(waiting: WaitingStep) -> float:
+def _required_headroom_share(waiting: WaitingStep) -> float:
     """Return the share of a worker that a step has to leave free.
 
     Answers bursts of urgent work on pools filled with work that loses what it has done
@@ -312,39 +320,44 @@
     """
     specification = waiting.step.specification
     is_short = not specification.is_lasting and not specification.is_checkpointing
-    return KEPT_SHARE if waiting.queue.priority > 0 and is_short else 0.0
+    return URGENT_HEADROOM_SHARE if waiting.queue.priority > 0 and is_short else 0.0
 
 
-def _cheapest_claim(
-    room: RoomMaker, workers: Iterable[WorkerLedger], needed: Resources, priority: int
+def _claim_cheapest_room(
+    preemptor: Preemptor,
+    workers: Iterable[WorkerLedger],
+    needed: Resources,
+    priority: int,
 ) -> tuple[WorkerLedger, list[Run]] | None:
     """Claim room on the worker where the fewest runs have to stop for it."""
     best: tuple[WorkerLedger, list[Run]] | None = None
     for worker in workers:
-        victims = room.claim(worker, needed, priority)
+        victims = preemptor.claim_room(worker, needed, priority)
         if victims is None:
             continue
         if best is not None and len(best[1]) <= len(victims):
-            room.release(worker, needed, victims)
+            preemptor.release_room(worker, needed, victims)
             continue
         if best is not None:
-            room.release(best[0], needed, best[1])
+            preemptor.release_room(best[0], needed, best[1])
         best = (worker, victims)
         if not victims:
             break
     return best
 
 
-def _is_large(step: Step, workers: list[WorkerLedger]) -> bool:
+def _has_large_tasks(step: Step, workers: list[WorkerLedger]) -> bool:
     """Tell whether a task takes most of any worker that may run it."""
     charged = step.specification.charged
     return bool(workers) and all(
-        charged.dominant_share(worker.entry.capacity) >= LARGE_SHARE
+        charged.dominant_share(worker.entry.capacity) >= LARGE_TASK_SHARE
         for worker in workers
     )
 
 
-def _nearest_to_free(step: Step, workers: list[WorkerLedger], tasks: int) -> set[str]:
+def _select_workers_to_reserve(
+    step: Step, workers: list[WorkerLedger], task_count: int
+) -> set[str]:
     """Return the workers to keep free until tasks fit, nearest to it first."""
     needed = step.specification.charged
     candidates = [
@@ -355,14 +368,16 @@
     candidates.sort(
         key=lambda worker: (needed - worker.free).dominant_share(worker.entry.capacity)
     )
-    held: set[str] = set()
-    count = 0
+    selected: set[str] = set()
+    fitting = 0
     for worker in candidates:
-        if count >= tasks:
+        if fitting >= task_count:
             break
-        count += places(worker.entry.capacity, needed)
-        held.add(worker.entry.worker_id)
-    return held if count >= tasks or not step.specification.is_gang else set()
+        fitting += count_fitting_tasks(worker.entry.capacity, needed)
+        selected.add(worker.entry.worker_id)
+    return (
+        selected if fitting >= task_count or not step.specification.is_gang else set()
+    )
 
 
 def _gang_checkpoint(tasks: list[Task]) -> str:
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -16,17 +16,17 @@
 NEARLY_DONE_PERCENT = 85
 """Progress from which a run is left to end by itself."""
 
-MIN_RUN_S = 0.2
+MIN_RUN_AGE_S = 0.2
 """Age below which a run is not stopped: it would only pay for its restore."""
 
 
-MIN_TRUSTED_PERCENT = 10
+MIN_EXTRAPOLATION_PERCENT = 10
 """Progress from which a run's end is foretold."""
 
 FULL_PERCENT = 100
 
 
-class RoomMaker:
+class Preemptor:
     """Finds room on workers, counting what ends there soon.
 
     Parameters
@@ -42,14 +42,14 @@
         self._now_s = now_s
         self._claimed: dict[str, Resources] = {}
         self._victims: dict[str, list[Run]] = {}
-        self._reachable: dict[tuple[str, int | None, float], Resources] = {}
+        self._attainable_room: dict[tuple[str, int | None, float], Resources] = {}
 
     @property
     def claimed_workers(self) -> set[str]:
         """Workers on which room is being made."""
         return set(self._claimed)
 
-    def claim(
+    def claim_room(
         self, worker: WorkerLedger, needed: Resources, priority: int
     ) -> list[Run] | None:
         """Claim room for a task on a worker.
@@ -61,16 +61,16 @@
             everything that may be stopped would not make room.
         """
         worker_id = worker.entry.worker_id
-        chosen = self._victims.get(worker_id, [])
+        earlier_victims = self._victims.get(worker_id, [])
         room = worker.free - self._claimed.get(worker_id, NO_RESOURCES)
         for run in worker.runs.values():
-            if run.state is RunState.STOPPING or run in chosen:
+            if run.state is RunState.STOPPING or run in earlier_victims:
                 room = room + run.task.step.specification.charged
         victims: list[Run] = []
-        for run in self._candidates(worker, priority, chosen):
+        for run in self._list_preemptible_runs(worker, priority, earlier_victims):
             if needed.fits_in(room):
                 break
-            if _helps(run, needed, room):
+            if _frees_scarce_resource(run, needed, room):
                 room = room + run.task.step.specification.charged
                 victims.append(run)
         if not needed.fits_in(room):
@@ -80,7 +80,7 @@
         self._victims.setdefault(worker_id, []).extend(victims)
         return victims
 
-    def reachable(
+    def find_attainable_room(
         self, worker: WorkerLedger, priority: int | None, horizon_s: float
     ) -> Resources:
         """Return the room that a worker can have within some time.
@@ -97,20 +97,20 @@
             Seconds within which runs that end by themselves count as ended.
         """
         key = (worker.entry.worker_id, priority, horizon_s)
-        known = self._reachable.get(key)
-        if known is not None:
-            return known
+        cached = self._attainable_room.get(key)
+        if cached is not None:
+            return cached
         room = worker.free - self._claimed.get(worker.entry.worker_id, NO_RESOURCES)
         for run in worker.runs.values():
             is_stopping = run.state is RunState.STOPPING
-            may_stop = priority is not None and self._may_stop(run, priority)
-            ends_soon = remaining_s(run, self._now_s) <= horizon_s
+            may_stop = priority is not None and self._is_preemptible(run, priority)
+            ends_soon = estimate_remaining_s(run, self._now_s) <= horizon_s
             if is_stopping or may_stop or ends_soon:
                 room = room + run.task.step.specification.charged
-        self._reachable[key] = room
+        self._attainable_room[key] = room
         return room
 
-    def release(
+    def release_room(
         self, worker: WorkerLedger, needed: Resources, victims: list[Run]
     ) -> None:
         """Give a claim up."""
@@ -119,18 +119,18 @@
         for run in victims:
             self._victims[worker_id].remove(run)
 
-    def _candidates(
-        self, worker: WorkerLedger, priority: int, chosen: list[Run]
+    def _list_preemptible_runs(
+        self, worker: WorkerLedger, priority: int, earlier_victims: list[Run]
     ) -> Iterable[Run]:
         candidates = [
             run
             for run in worker.runs.values()
-            if run not in chosen and self._may_stop(run, priority)
+            if run not in earlier_victims and self._is_preemptible(run, priority)
         ]
         candidates.sort(key=lambda run: (run.progress_percent, -run.started_s))
         return candidates
 
-    def _may_stop(self, run: Run, priority: int) -> bool:
+    def _is_preemptible(self, run: Run, priority: int) -> bool:
         specification = run.task.step.specification
         if run.state is not RunState.RUNNING:
             return False
@@ -138,23 +138,23 @@
             return False
         if specification.is_gang or run.progress_percent >= NEARLY_DONE_PERCENT:
             return False
-        if self._now_s - run.started_s < MIN_RUN_S:
+        if self._now_s - run.started_s < MIN_RUN_AGE_S:
             return False
         queue = self._queue_of(run.task.step.job)
         return queue is not None and queue.priority > priority
 
 
-def remaining_s(run: Run, now_s: float) -> float:
+def estimate_remaining_s(run: Run, now_s: float) -> float:
     """Return how long a run will still take by its progress so far, in seconds."""
     percent = run.progress_percent
     is_lasting = run.task.step.specification.is_lasting
-    if is_lasting or percent < MIN_TRUSTED_PERCENT or run.confirmed_s is None:
+    if is_lasting or percent < MIN_EXTRAPOLATION_PERCENT or run.confirmed_s is None:
         return float("inf")
-    whole_s = (run.progressed_s - run.confirmed_s) * FULL_PERCENT / percent
-    return max(0.0, run.confirmed_s + whole_s - now_s)
+    total_s = (run.progressed_s - run.confirmed_s) * FULL_PERCENT / percent
+    return max(0.0, run.confirmed_s + total_s - now_s)
 
 
-def _helps(run: Run, needed: Resources, room: Resources) -> bool:
+def _frees_scarce_resource(run: Run, needed: Resources, room: Resources) -> bool:
     """Tell whether a run takes something that is short."""
     charged = run.task.step.specification.charged
     return (
--- a/src/fuchsiadale/decision/workflow/run_book.py
+++ b/src/fuchsiadale/decision/workflow/run_book.py
@@ -221,7 +221,7 @@
     def _learn(self, worker: WorkerLedger, step: Step, ran_s: float) -> None:
         """Learn from a whole run."""
         queue, estimated_s = step.job.record.queue, step.specification.estimated_s
-        worker.note_duration(ran_s, self.durations.expect_s(queue, estimated_s))
+        worker.note_duration(ran_s, self.durations.predict_s(queue, estimated_s))
         self.durations.observe(queue, estimated_s, ran_s, 1.0 / len(step.tasks))
         step.ended_runs += 1
         step.ended_runs_s += ran_s
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -23,13 +23,13 @@
     WorkerState,
 )
 from fuchsiadale.decision.workflow.names import TaskName
-from fuchsiadale.decision.workflow.pacing import pace_orders
+from fuchsiadale.decision.workflow.pacing import adjust_filler_paces
 from fuchsiadale.decision.workflow.run_book import RunBook
 
-LEAVE_MARGIN_S = 0.8
+DRAIN_STOP_MARGIN_S = 0.8
 """Seconds before a worker leaves at which runs are stopped: a stop and a look."""
 
-STALL_S = 3.0
+STALL_TIMEOUT_S = 3.0
 """Seconds without progress after which a run is stopped: three checkpoints."""
 
 STOP_SETTLE_S = 0.4
@@ -38,20 +38,22 @@
 TICKET_MARGIN_S = 0.15
 """Validity that a ticket must have left when it is used: a start's way, slowed."""
 
-FOREIGN_RUN_S = 2.0
+UNKNOWN_RUN_GRACE_S = 2.0
 """Seconds after which a run of no known job is stopped; a watch's silence."""
 
 
 class Scheduler(RunBook):
     """Decides where tasks run; it is told of events and gives orders."""
 
-    def shorten_leases(self, until_s: float) -> None:
+    def bound_predecessor_leases(self, until_s: float) -> None:
         """Note when what the former owner started has surely ended."""
         for worker in self.workers.values():
             if not worker.is_adopted:
                 worker.lease_ends_s = min(worker.lease_ends_s, until_s)
 
-    def observe_workers(self, entries: Iterable[WorkerEntry]) -> list[WorkerLedger]:
+    def update_registrations(
+        self, entries: Iterable[WorkerEntry]
+    ) -> list[WorkerLedger]:
         """Take the list of registered workers over.
 
         Returns
@@ -60,44 +62,44 @@
             Workers that were not known.
         """
         added = []
-        present = set()
+        listed_ids = set()
         for entry in entries:
-            present.add(entry.worker_id)
-            known = self.workers.get(entry.worker_id)
-            if known is None:
+            listed_ids.add(entry.worker_id)
+            known_worker = self.workers.get(entry.worker_id)
+            if known_worker is None:
                 worker = WorkerLedger(entry, lease_ends_s=self.clock.now())
                 self.workers[entry.worker_id] = worker
                 added.append(worker)
                 self._decide("worker_found", "", worker=entry.worker_id)
                 continue
-            if known.entry.state is not entry.state:
+            if known_worker.entry.state is not entry.state:
                 self._decide(
                     "worker_state",
                     "",
                     worker=entry.worker_id,
                     state=entry.state.value,
                 )
-            known.renew_entry(entry, self.clock.now())
+            known_worker.renew_entry(entry, self.clock.now())
         for worker_id, worker in self.workers.items():
-            if worker_id not in present and worker.is_listed:
+            if worker_id not in listed_ids and worker.is_listed:
                 worker.is_listed = False
                 self._decide("worker_unlisted", "", worker=worker_id)
         return added
 
-    def note_failure_to_answer(self, worker_id: str) -> None:
+    def mark_worker_unresponsive(self, worker_id: str) -> None:
         """Note that a worker did not answer; nothing new is placed on it."""
         worker = self.workers.get(worker_id)
         if worker is not None and worker.failing_since_s is None:
             worker.failing_since_s = self.clock.now()
             self._decide("worker_silent", "", worker=worker_id)
 
-    def note_lease(self, worker_id: str, ends_s: float) -> None:
+    def extend_lease(self, worker_id: str, ends_s: float) -> None:
         """Note when everything on a worker ends if no later order reaches it."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.note_lease(ends_s)
 
-    def note_report(
+    def process_report(
         self, worker_id: str, report: WorkerReport, sent_s: float
     ) -> list[Order]:
         """Compare what a worker reports with what was placed on it."""
@@ -115,20 +117,20 @@
                 self._decide("worker_restarted", "", worker=worker_id)
             worker.started_ms = report.started_ms
             worker.processed_end = 0
-        seen = set()
+        reported_runs = set()
         worker.foreign_runs = 0
         for row in report.running:
-            seen.add((row.task, row.run))
-            self._note_running(worker, row, now)
+            reported_runs.add((row.task, row.run))
+            self._process_running_row(worker, row, now)
         if not worker.foreign_runs:
             worker.foreign_since_s = None
         for ended in report.ended:
-            seen.add((ended.task, ended.run))
+            reported_runs.add((ended.task, ended.run))
             if ended.number > worker.processed_end:
                 worker.processed_end = ended.number
-                self._note_end(worker, ended)
-        self._note_absent(worker, seen, sent_s)
-        for order in pace_orders(worker.runs.values()):
+                self._process_ended_row(worker, ended)
+        self._end_absent_runs(worker, reported_runs, sent_s)
+        for order in adjust_filler_paces(worker.runs.values()):
             self._orders.append(order)
             self._decide(
                 "run_paced",
@@ -142,36 +144,36 @@
             worker.is_adopted = True
         return self.take_orders()
 
-    def note_replaced(self, worker_id: str) -> None:
+    def mark_worker_replaced(self, worker_id: str) -> None:
         """Note that another worker answers at a worker's address."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        self.note_failure_to_answer(worker_id)
+        self.mark_worker_unresponsive(worker_id)
         if worker.runs:
             self._decide("worker_replaced", "", worker=worker_id)
             self._drop_runs(worker, list(worker.runs.values()))
         worker.is_adopted = False
 
-    def forget_gone_workers(self) -> list[str]:
+    def remove_gone_workers(self) -> list[str]:
         """Drop workers that are not registered, not answering and empty."""
-        gone = [
+        gone_ids = [
             worker_id
             for worker_id, worker in self.workers.items()
             if not worker.is_listed
             and worker.failing_since_s is not None
             and not worker.runs
         ]
-        for worker_id in gone:
+        for worker_id in gone_ids:
             del self.workers[worker_id]
             self.retired_workers.add(worker_id)
             self._decide("worker_forgotten", "", worker=worker_id)
-        return gone
+        return gone_ids
 
-    def note_advice(
+    def process_advice(
         self,
         order: AskAdvice,
-        granted: dict[str, str] | None,
+        tickets: dict[str, str] | None,
         valid_s: float,
     ) -> None:
         """Take an answer of the advice service; None if there was none."""
@@ -181,23 +183,23 @@
             return
         step.is_asking = False
         now = self.clock.now()
-        if granted is None:
+        if tickets is None:
             step.ask_not_before_s = now + 0.1
             return
         for worker_id in order.worker_ids:
-            step.advised[worker_id] = worker_id in granted
-            if worker_id in granted:
-                ticket = Ticket(granted[worker_id], now + valid_s - TICKET_MARGIN_S)
+            step.advised[worker_id] = worker_id in tickets
+            if worker_id in tickets:
+                ticket = Ticket(tickets[worker_id], now + valid_s - TICKET_MARGIN_S)
                 step.tickets[worker_id] = ticket
         self._decide(
             "advice_received",
             order.step.job_id,
             step=str(order.step),
             asked=len(order.worker_ids),
-            granted=len(granted),
+            granted=len(tickets),
         )
 
-    def check_time(self) -> list[Order]:
+    def check_timeouts(self) -> list[Order]:
         """Act on what the passing of time decides."""
         now = self.clock.now()
         for worker in list(self.workers.values()):
@@ -212,11 +214,11 @@
                     worker.is_adopted = False
                     self._drop_runs(worker, list(worker.runs.values()))
                 continue
-            leaving = self._is_leaving(worker, now)
+            is_leaving = self._is_about_to_leave(worker, now)
             for run in list(worker.runs.values()):
                 if run.state is not RunState.RUNNING:
                     continue
-                if leaving:
+                if is_leaving:
                     self._stop(run, "worker_leaves")
                 elif self._is_stalled(run, now):
                     worker.note_failure(run.task.name.step.job_id, now)
@@ -224,7 +226,9 @@
                     self._stop(run, "stalled")
         return self.take_orders()
 
-    def _note_running(self, worker: WorkerLedger, row: RunningRow, now: float) -> None:
+    def _process_running_row(
+        self, worker: WorkerLedger, row: RunningRow, now: float
+    ) -> None:
         run = worker.runs.get((row.task, row.run))
         if run is None:
             run = self._adopt_run(worker, row, now)
@@ -253,7 +257,7 @@
             worker.foreign_runs += 1
             if worker.foreign_since_s is None:
                 worker.foreign_since_s = now
-            elif now - worker.foreign_since_s > FOREIGN_RUN_S:
+            elif now - worker.foreign_since_s > UNKNOWN_RUN_GRACE_S:
                 order = StopRun(worker_id, row.task, row.run, "unknown_job")
                 self._orders.append(order)
             return None
@@ -270,11 +274,14 @@
             self._stop(run, "not_needed")
         return run
 
-    def _note_absent(
-        self, worker: WorkerLedger, seen: set[tuple[TaskName, int]], sent_s: float
+    def _end_absent_runs(
+        self,
+        worker: WorkerLedger,
+        reported_runs: set[tuple[TaskName, int]],
+        sent_s: float,
     ) -> None:
         for key, run in list(worker.runs.items()):
-            if key in seen or run.state is RunState.STARTING:
+            if key in reported_runs or run.state is RunState.STARTING:
                 continue
             confirmed_s = run.confirmed_s
             if run.stop_acknowledged_s is not None:
@@ -282,7 +289,7 @@
             if confirmed_s is not None and confirmed_s < sent_s:
                 self._end(run, EndKind.VANISHED, "")
 
-    def _note_end(self, worker: WorkerLedger, row: EndedRow) -> None:
+    def _process_ended_row(self, worker: WorkerLedger, row: EndedRow) -> None:
         run = worker.runs.get((row.task, row.run))
         if run is None:
             job = self.jobs.get(row.task.step.job_id)
@@ -293,13 +300,13 @@
             task.last_run = max(task.last_run, row.run)
         self._end(run, row.kind, row.checkpoint)
 
-    def _is_leaving(self, worker: WorkerLedger, now: float) -> bool:
+    def _is_about_to_leave(self, worker: WorkerLedger, now: float) -> bool:
         if worker.entry.state is not WorkerState.DRAINING or worker.leaves_s is None:
             return False
-        return now > worker.leaves_s - LEAVE_MARGIN_S
+        return now > worker.leaves_s - DRAIN_STOP_MARGIN_S
 
     def _is_stalled(self, run: Run, now: float) -> bool:
         specification = run.task.step.specification
         if specification.is_lasting or specification.is_filler or run.load is None:
             return False
-        return run.load <= 0.0 and now - run.progressed_s > STALL_S
+        return run.load <= 0.0 and now - run.progressed_s > STALL_TIMEOUT_S
--- a/src/fuchsiadale/decision/workflow/triage.py
+++ b/src/fuchsiadale/decision/workflow/triage.py
@@ -33,20 +33,20 @@
 
     job_id: str
     work_s: float
-    chain_s: float
+    critical_path_s: float
     due_s: float
 
 
-def jobs_to_defer(demands: Iterable[Demand], now_s: float) -> set[str]:
+def select_deferred_jobs(demands: Iterable[Demand], now_s: float) -> set[str]:
     """Return the jobs to serve after all others so that most are in time."""
-    taken: list[tuple[float, str]] = []
+    accepted: list[tuple[float, str]] = []
     deferred: set[str] = set()
-    busy_s = 0.0
+    total_work_s = 0.0
     for demand in sorted(demands, key=lambda item: item.due_s):
-        heappush(taken, (-demand.work_s, demand.job_id))
-        busy_s += demand.work_s
-        if now_s + max(busy_s, demand.chain_s) > demand.due_s:
-            negative_work_s, job_id = heappop(taken)
-            busy_s += negative_work_s
+        heappush(accepted, (-demand.work_s, demand.job_id))
+        total_work_s += demand.work_s
+        if now_s + max(total_work_s, demand.critical_path_s) > demand.due_s:
+            negative_work_s, job_id = heappop(accepted)
+            total_work_s += negative_work_s
             deferred.add(job_id)
     return deferred
--- a/tests/load_jobs.py
+++ b/tests/load_jobs.py
@@ -9,29 +9,29 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.names import StepName, TaskName
-from fuchsiadale.decision.workflow.placement import places
+from fuchsiadale.decision.workflow.placement import count_fitting_tasks
 from fuchsiadale.decision.workflow.specification import (
     JobRecord,
     JobSpecification,
     StepSpecification,
 )
-from tests.load_kinds import Kind, Pool
+from tests.load_kinds import JobKind, Pool
 
 
 @frozen
-class Submitted:
+class SimulatedJob:
     """A job as it really is."""
 
-    kind: Kind
+    kind: JobKind
     record: JobRecord
-    sent_s: float
-    work_s: dict[TaskName, float]
-    poisoned: frozenset[TaskName]
+    submitted_s: float
+    task_work_s: dict[TaskName, float]
+    poisoned_tasks: frozenset[TaskName]
     objective_s: float
     value: float
 
 
-class JobMaker:
+class JobGenerator:
     """Draws jobs.
 
     Parameters
@@ -46,49 +46,67 @@
         self._pools = pools
         self._random = random
 
-    def make(self, kind: Kind) -> Submitted:
+    def generate(self, kind: JobKind) -> SimulatedJob:
         """Return a job of a kind, as yet not sent."""
         draw = self._random
         job_id = f"{draw.getrandbits(64):016x}"
         steps = []
-        work: dict[TaskName, float] = {}
+        task_work_s: dict[TaskName, float] = {}
         chain_s = 0.0
-        cores = 0.0
-        total = max(1, round(draw.lognormvariate(math.log(kind.steps), 0.4)))
-        for index in range(total):
-            width = max(1, round(draw.lognormvariate(math.log(kind.width) - 0.2, 0.7)))
-            base_s = kind.work_s * draw.lognormvariate(-0.12, 0.5)
-            base_s = min(max(base_s, 0.05), 2.5 * kind.work_s)
+        core_seconds = 0.0
+        step_count = max(1, round(draw.lognormvariate(math.log(kind.usual_steps), 0.4)))
+        for index in range(step_count):
+            width = max(
+                1, round(draw.lognormvariate(math.log(kind.usual_width) - 0.2, 0.7))
+            )
+            base_s = kind.usual_task_s * draw.lognormvariate(-0.12, 0.5)
+            base_s = min(max(base_s, 0.05), 2.5 * kind.usual_task_s)
             error = draw.gauss(-kind.estimate_bias, kind.estimate_error)
             request = Resources(
                 kind.cpu_millis, kind.memory_mb, draw.choice(kind.accelerators)
             )
             steps.append(
                 StepSpecification(
-                    min(width, int(6 * kind.width)),
+                    min(width, int(6 * kind.usual_width)),
                     request,
                     base_s * math.exp(error),
                     (index - 1,) if index else (),
-                    is_checkpointing=draw.random() < kind.resumes,
+                    is_checkpointing=draw.random() < kind.checkpointing_share,
                 )
             )
             name = StepName(job_id, 0, index)
             for number in range(steps[-1].count):
-                task_s = base_s * math.exp(draw.gauss(0.0, kind.uneven))
-                work[TaskName(name, number)] = task_s
-                cores += task_s * request.cpu_millis / 1000
-            longest_s = max(work[TaskName(name, n)] for n in range(steps[-1].count))
-            chain_s += longest_s * self._waves(kind, steps[-1])
-        is_poisoned = draw.random() < kind.poison
-        poisoned = frozenset([draw.choice(list(work))] if is_poisoned else [])
-        usual = kind.steps * kind.width * kind.work_s * kind.cpu_millis / 1000
-        value = kind.worth * min(4.0, 0.3 + 0.7 * cores / usual)
+                task_s = base_s * math.exp(draw.gauss(0.0, kind.task_spread))
+                task_work_s[TaskName(name, number)] = task_s
+                core_seconds += task_s * request.cpu_millis / 1000
+            longest_s = max(
+                task_work_s[TaskName(name, n)] for n in range(steps[-1].count)
+            )
+            chain_s += longest_s * self._count_waves(kind, steps[-1])
+        is_poisoned = draw.random() < kind.poisoned_share
+        poisoned_tasks = frozenset(
+            [draw.choice(list(task_work_s))] if is_poisoned else []
+        )
+        usual_core_seconds = (
+            kind.usual_steps
+            * kind.usual_width
+            * kind.usual_task_s
+            * kind.cpu_millis
+            / 1000
+        )
+        value = kind.usual_value * min(
+            4.0, 0.3 + 0.7 * core_seconds / usual_core_seconds
+        )
         specification = JobSpecification("text", tuple(steps))
         record = JobRecord(job_id, kind.queue.name, "workspace", 0.0, specification)
         objective_s = kind.queue.stretch * chain_s + kind.queue.slack_s
-        return Submitted(kind, record, 0.0, work, poisoned, objective_s, value)
+        return SimulatedJob(
+            kind, record, 0.0, task_work_s, poisoned_tasks, objective_s, value
+        )
 
-    def _waves(self, kind: Kind, step: StepSpecification) -> int:
+    def _count_waves(self, kind: JobKind, step: StepSpecification) -> int:
         pool = next(item for item in self._pools if item.name == kind.queue.pool)
-        room = pool.workers * places(pool.capacity, step.request)
-        return max(1, math.ceil(step.count / max(1.0, room / 4)))
+        pool_places = pool.worker_count * count_fitting_tasks(
+            pool.capacity, step.request
+        )
+        return max(1, math.ceil(step.count / max(1.0, pool_places / 4)))
--- a/tests/load_kinds.py
+++ b/tests/load_kinds.py
@@ -9,25 +9,25 @@
 
 
 @frozen
-class Kind:
+class JobKind:
     """One kind of job, as the sheets tell it."""
 
     queue: Queue
-    per_s: float
-    worth: float
-    work_s: float
-    width: float
+    arrivals_per_s: float
+    usual_value: float
+    usual_task_s: float
+    usual_width: float
     cpu_millis: int
     memory_mb: int
     accelerators: tuple[int, ...] = (0,)
-    steps: float = 1.0
+    usual_steps: float = 1.0
     estimate_error: float = 0.5
     estimate_bias: float = 0.0
-    uneven: float = 0.15
-    failing: float = 0.02
-    poison: float = 0.03
-    granted: float = 1.0
-    resumes: float = 0.0
+    task_spread: float = 0.15
+    failure_share: float = 0.02
+    poisoned_share: float = 0.03
+    granted_share: float = 1.0
+    checkpointing_share: float = 0.0
 
 
 @frozen
@@ -35,15 +35,15 @@
     """Workers of one kind."""
 
     name: str
-    workers: int
+    worker_count: int
     capacity: Resources
 
 
-def make_guild_kinds() -> list[Kind]:
+def make_guild_kinds() -> list[JobKind]:
     """Return the Guild's kinds of jobs that end, as the sheets tell them."""
     preparation, imaging = "preparation", "imaging"
     return [
-        Kind(
+        JobKind(
             Queue(
                 "proof",
                 "host",
@@ -61,10 +61,10 @@
             6.0,
             1500,
             4300,
-            steps=1.5,
-            granted=0.7,
+            usual_steps=1.5,
+            granted_share=0.7,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "digitise",
                 "host",
@@ -82,12 +82,12 @@
             11.0,
             3300,
             6700,
-            steps=2.0,
+            usual_steps=2.0,
             estimate_error=0.2,
-            granted=0.45,
-            resumes=0.8,
+            granted_share=0.45,
+            checkpointing_share=0.8,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "render",
                 "host",
@@ -108,12 +108,12 @@
             (2, 4, 8, 8),
             estimate_error=0.9,
             estimate_bias=0.4,
-            uneven=0.3,
-            failing=0.05,
-            granted=0.3,
-            resumes=0.9,
+            task_spread=0.3,
+            failure_share=0.05,
+            granted_share=0.3,
+            checkpointing_share=0.9,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "match",
                 "host",
@@ -133,10 +133,10 @@
             8200,
             (1,),
             estimate_error=0.2,
-            failing=0.05,
-            poison=0.0,
-            granted=0.45,
-            resumes=0.8,
+            failure_share=0.05,
+            poisoned_share=0.0,
+            granted_share=0.45,
+            checkpointing_share=0.8,
         ),
     ]
 
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -37,33 +37,33 @@
 from fuchsiadale.decision.workflow.names import StepName, TaskName
 from fuchsiadale.decision.workflow.planning import Planner
 from fuchsiadale.decision.workflow.scheduler import Scheduler
-from tests.load_jobs import JobMaker, Submitted
-from tests.load_kinds import Kind, Pool
+from tests.load_jobs import JobGenerator, SimulatedJob
+from tests.load_kinds import JobKind, Pool
 
-START_S = 0.02
+START_DELAY_S = 0.02
 """Seconds from a placement until the worker has begun: the record and the call."""
 
-LOOK_S = 0.8
+REPORT_INTERVAL_S = 0.8
 """Seconds between two reports of a worker on which nothing ends."""
 
-TICK_S = 0.2
+TICK_INTERVAL_S = 0.2
 """Seconds between two looks at what only time decides."""
 
-PLAN_S = 0.005
+PLAN_DELAY_S = 0.005
 """Seconds from an event until the plan that answers it."""
 
-CHECKPOINT_S = 1.0
+CHECKPOINT_INTERVAL_S = 1.0
 """Seconds of work between two checkpoints."""
 
-RESTORE_S = 0.6
+RESTORE_DELAY_S = 0.6
 """Seconds to resume from a checkpoint."""
 
 LATE_FACTOR = 3.0
-LATE_SHARE = 0.2
+LATE_VALUE_SHARE = 0.2
 
 
 @define(eq=False)
-class _Run:
+class _SimulatedRun:
     task: TaskName
     run: int
     work_s: float
@@ -78,30 +78,30 @@
 
 
 @define(eq=False)
-class _Worker:
+class _SimulatedWorker:
     entry: WorkerEntry
-    runs: dict[tuple[TaskName, int], _Run] = Factory(dict)
+    runs: dict[tuple[TaskName, int], _SimulatedRun] = Factory(dict)
     ends: list[EndedRow] = Factory(list)
     last_end: int = 0
 
 
 @define
-class Outcome:
+class LoadOutcome:
     """What callers of one kind got."""
 
     jobs: int = 0
     in_time: int = 0
     late: int = 0
-    owed: float = 0.0
-    earned: float = 0.0
+    total_value: float = 0.0
+    earned_value: float = 0.0
 
     @property
-    def share(self) -> float:
+    def earned_share(self) -> float:
         """Worth earned over worth owed."""
-        return self.earned / self.owed if self.owed else 1.0
+        return self.earned_value / self.total_value if self.total_value else 1.0
 
 
-class LoadWorld:
+class LoadSimulation:
     """Plays kinds of jobs against one scheduler.
 
     Parameters
@@ -120,26 +120,26 @@
 
     def __init__(
         self,
-        kinds: list[Kind],
+        kinds: list[JobKind],
         pools: list[Pool],
         seed: int = 1,
-        lanes: int = 9,
-        surge: Callable[[Kind, float], float] = lambda kind, at_s: 1.0,
+        max_advice_calls: int = 9,
+        rate_factor: Callable[[JobKind, float], float] = lambda kind, at_s: 1.0,
     ) -> None:
         self.kinds = kinds
         self.pools = pools
         self.seed = seed
-        self.lanes = lanes
-        self.surge = surge
-        self.submitted: dict[str, Submitted] = {}
-        self.shown: dict[str, tuple[JobState, float]] = {}
-        self.waste_s = 0.0
+        self.max_advice_calls = max_advice_calls
+        self.rate_factor = rate_factor
+        self.submitted: dict[str, SimulatedJob] = {}
+        self.final_states: dict[str, tuple[JobState, float]] = {}
+        self.wasted_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
-        self._is_planned = False
-        self._busy_lanes = 0
+        self._event_count = 0
+        self._is_plan_pending = False
+        self._open_advice_calls = 0
         self._random = random.Random(seed)
-        self._jobs = JobMaker(pools, self._random)
+        self._generator = JobGenerator(pools, self._random)
         self.clock = ManualClock(100.0)
         self.scheduler = Scheduler(self.clock, 1)
         self.planner = Planner(self.scheduler)
@@ -147,9 +147,9 @@
         workspace = Workspace("workspace", ("key",), 1000.0, NO_LIMIT)
         configuration = CellConfiguration(1, queues, (workspace,))
         self.scheduler.apply_configuration(configuration)
-        self.workers: dict[str, _Worker] = {}
+        self.workers: dict[str, _SimulatedWorker] = {}
         for pool in self.pools:
-            for index in range(pool.workers):
+            for index in range(pool.worker_count):
                 entry = WorkerEntry(
                     f"{pool.name}-{index}",
                     pool.name,
@@ -160,24 +160,26 @@
                     ("a", f"r{index // 5}"),
                     1,
                 )
-                self.workers[entry.worker_id] = _Worker(entry)
-        self.scheduler.observe_workers(item.entry for item in self.workers.values())
+                self.workers[entry.worker_id] = _SimulatedWorker(entry)
+        self.scheduler.update_registrations(
+            item.entry for item in self.workers.values()
+        )
         for worker_id in self.workers:
             self.scheduler.workers[worker_id].note_recorded(())
-            self._look(worker_id)
+            self._send_report(worker_id)
 
-    def play(self, seconds: float, drain_s: float = 40.0) -> dict[str, Outcome]:
+    def simulate(self, seconds: float, drain_s: float = 40.0) -> dict[str, LoadOutcome]:
         """Submit for some seconds and return what each queue's callers got."""
         start_s = self.clock.now()
         for kind in self.kinds:
             at_s = 0.0
             while True:
-                rate = kind.per_s * self.surge(kind, at_s)
+                rate = kind.arrivals_per_s * self.rate_factor(kind, at_s)
                 at_s += self._random.expovariate(rate)
                 if at_s >= seconds:
                     break
-                self._at(start_s + at_s, self._submission(kind))
-        self._at(start_s, self._tick)
+                self._schedule_at(start_s + at_s, self._make_submission(kind))
+        self._schedule_at(start_s, self._tick)
         end_s = start_s + seconds + drain_s
         while self._events and self._events[0][0] <= end_s:
             at_s, _, event = heappop(self._events)
@@ -187,23 +189,23 @@
 
     # Events
 
-    def _at(self, at_s: float, event: Callable[[], None]) -> None:
-        self._count += 1
-        heappush(self._events, (at_s, self._count, event))
+    def _schedule_at(self, at_s: float, event: Callable[[], None]) -> None:
+        self._event_count += 1
+        heappush(self._events, (at_s, self._event_count, event))
 
-    def _after(self, seconds: float, event: Callable[[], None]) -> None:
-        self._at(self.clock.now() + seconds, event)
+    def _schedule_after(self, seconds: float, event: Callable[[], None]) -> None:
+        self._schedule_at(self.clock.now() + seconds, event)
 
-    def _submission(self, kind: Kind) -> Callable[[], None]:
-        job = self._jobs.make(kind)
+    def _make_submission(self, kind: JobKind) -> Callable[[], None]:
+        job = self._generator.generate(kind)
 
         def submit() -> None:
-            sent = Submitted(
+            sent = SimulatedJob(
                 kind,
                 job.record,
                 self.clock.now(),
-                job.work_s,
-                job.poisoned,
+                job.task_work_s,
+                job.poisoned_tasks,
                 job.objective_s,
                 job.value,
             )
@@ -214,24 +216,24 @@
         return submit
 
     def _tick(self) -> None:
-        self._obey(self.scheduler.check_time())
+        self._carry_out(self.scheduler.check_timeouts())
         for worker_id in self.workers:
-            if self._random.random() < TICK_S / LOOK_S:
-                self._look(worker_id)
+            if self._random.random() < TICK_INTERVAL_S / REPORT_INTERVAL_S:
+                self._send_report(worker_id)
         self._plan_soon()
-        self._after(TICK_S, self._tick)
+        self._schedule_after(TICK_INTERVAL_S, self._tick)
 
     def _plan_soon(self) -> None:
-        if not self._is_planned:
-            self._is_planned = True
-            self._after(PLAN_S, self._plan)
+        if not self._is_plan_pending:
+            self._is_plan_pending = True
+            self._schedule_after(PLAN_DELAY_S, self._plan)
 
     def _plan(self) -> None:
-        self._is_planned = False
-        self._obey(self.planner.plan(self.lanes))
+        self._is_plan_pending = False
+        self._carry_out(self.planner.plan(self.max_advice_calls))
         self.scheduler.decisions.take()
 
-    def _look(self, worker_id: str) -> None:
+    def _send_report(self, worker_id: str) -> None:
         worker = self.workers[worker_id]
         now_s = self.clock.now()
         rows = tuple(
@@ -246,63 +248,65 @@
         )
         ends, worker.ends = tuple(worker.ends), []
         report = WorkerReport(1, 0, rows, ends)
-        self._obey(self.scheduler.note_report(worker_id, report, now_s))
-        self._note_states()
+        self._carry_out(self.scheduler.process_report(worker_id, report, now_s))
+        self._record_final_states()
         self._plan_soon()
 
-    def _note_states(self) -> None:
+    def _record_final_states(self) -> None:
         for job_id in self.scheduler.unrecorded:
             job = self.scheduler.jobs[job_id]
             if job.state.is_final:
-                self.shown.setdefault(job_id, (job.state, self.clock.now()))
+                self.final_states.setdefault(job_id, (job.state, self.clock.now()))
         self.scheduler.unrecorded.clear()
 
     # Orders
 
-    def _obey(self, orders: Iterable[Order]) -> None:
+    def _carry_out(self, orders: Iterable[Order]) -> None:
         for order in orders:
             if isinstance(order, StartRun):
-                self._after(START_S, self._starting(order))
+                self._schedule_after(START_DELAY_S, self._make_start(order))
             elif isinstance(order, StopRun):
-                self._after(START_S, self._stopping(order))
+                self._schedule_after(START_DELAY_S, self._make_stop(order))
             elif isinstance(order, AskAdvice):
-                self._ask(order)
+                self._answer_advice(order)
 
-    def _starting(self, order: StartRun) -> Callable[[], None]:
+    def _make_start(self, order: StartRun) -> Callable[[], None]:
         def start() -> None:
             if not self.scheduler.is_wanted(order):
                 return
             if self.scheduler.has_expired(order):
                 refused = StartOutcome.TICKET_REFUSED
-                self._obey(self.scheduler.note_start(order, refused))
+                self._carry_out(self.scheduler.note_start(order, refused))
                 return
             job = self.submitted[order.task.step.job_id]
             now_s = self.clock.now()
             done_s = float(order.checkpoint) if order.checkpoint else 0.0
-            begins_s = now_s + (RESTORE_S if order.checkpoint else 0.0)
-            fails = order.task in job.poisoned
-            fails = fails or self._random.random() < job.kind.failing
-            work_s = job.work_s[order.task]
-            run = _Run(order.task, order.run, work_s, begins_s, done_s, fails)
+            begins_s = now_s + (RESTORE_DELAY_S if order.checkpoint else 0.0)
+            fails = order.task in job.poisoned_tasks
+            fails = fails or self._random.random() < job.kind.failure_share
+            work_s = job.task_work_s[order.task]
+            run = _SimulatedRun(order.task, order.run, work_s, begins_s, done_s, fails)
             worker = self.workers[order.worker_id]
             worker.runs[order.task, order.run] = run
-            self._obey(self.scheduler.note_start(order, StartOutcome.STARTED))
+            self._carry_out(self.scheduler.note_start(order, StartOutcome.STARTED))
             left_s = (begins_s - now_s) + (work_s - done_s) * (0.5 if fails else 1.0)
             kind = EndKind.FAILED if fails else EndKind.DONE
-            self._after(left_s, lambda: self._end(order.worker_id, run, kind))
+            self._schedule_after(
+                left_s, lambda: self._end_run(order.worker_id, run, kind)
+            )
 
         return start
 
-    def _stopping(self, order: StopRun) -> Callable[[], None]:
+    def _make_stop(self, order: StopRun) -> Callable[[], None]:
         def stop() -> None:
             run = self.workers[order.worker_id].runs.get((order.task, order.run))
             self.scheduler.note_stopped(order)
             if run is not None:
-                self._end(order.worker_id, run, EndKind.STOPPED)
+                self._end_run(order.worker_id, run, EndKind.STOPPED)
 
         return stop
 
-    def _end(self, worker_id: str, run: _Run, kind: EndKind) -> None:
+    def _end_run(self, worker_id: str, run: _SimulatedRun, kind: EndKind) -> None:
         worker = self.workers[worker_id]
         if worker.runs.pop((run.task, run.run), None) is None:
             return
@@ -310,27 +314,29 @@
         if kind is EndKind.STOPPED:
             checkpoint = self._checkpoint(run, self.clock.now(), is_stop=True)
             if not checkpoint:
-                self.waste_s += run.worked_s(self.clock.now())
+                self.wasted_s += run.worked_s(self.clock.now())
         worker.last_end += 1
         row = EndedRow(worker.last_end, run.task, run.run, kind, checkpoint)
         worker.ends.append(row)
-        self._look(worker_id)
+        self._send_report(worker_id)
 
-    def _checkpoint(self, run: _Run, now_s: float, is_stop: bool = False) -> str:
+    def _checkpoint(
+        self, run: _SimulatedRun, now_s: float, is_stop: bool = False
+    ) -> str:
         job = self.submitted[run.task.step.job_id]
         step = job.record.specification.steps[run.task.step.step]
         if not step.is_checkpointing:
             return ""
         worked_s = run.worked_s(now_s)
-        saved_s = worked_s if is_stop else math.floor(worked_s / CHECKPOINT_S)
+        saved_s = worked_s if is_stop else math.floor(worked_s / CHECKPOINT_INTERVAL_S)
         return repr(saved_s) if saved_s > 0.0 else ""
 
-    def _ask(self, order: AskAdvice) -> None:
-        self._busy_lanes += 1
-        is_served = self._busy_lanes <= self.lanes
+    def _answer_advice(self, order: AskAdvice) -> None:
+        self._open_advice_calls += 1
+        is_served = self._open_advice_calls <= self.max_advice_calls
 
         def answer() -> None:
-            self._busy_lanes -= 1
+            self._open_advice_calls -= 1
             granted = {
                 worker_id: "ticket"
                 for worker_id in order.worker_ids
@@ -338,10 +344,10 @@
             }
             valid_s = self._kind_of(order.step).queue.advice.valid_s  # type: ignore[union-attr]
             outcome = granted if is_served else None
-            self.scheduler.note_advice(order, outcome, valid_s)
+            self.scheduler.process_advice(order, outcome, valid_s)
             self._plan_soon()
 
-        self._after(order.cost_s if is_served else 0.0, answer)
+        self._schedule_after(order.cost_s if is_served else 0.0, answer)
 
     def _may_run(self, step: StepName, worker_id: str) -> bool:
         """Tell whether a step may run on a worker; some worker may always."""
@@ -352,27 +358,27 @@
             if worker.entry.pool == kind.queue.pool
         ]
         draw = random.Random(f"{self.seed}/{step}")
-        allowed = [item for item in ids if draw.random() < kind.granted]
+        allowed = [item for item in ids if draw.random() < kind.granted_share]
         return worker_id in (allowed or [draw.choice(ids)])
 
-    def _kind_of(self, step: StepName) -> Kind:
+    def _kind_of(self, step: StepName) -> JobKind:
         return self.submitted[step.job_id].kind
 
     # Jobs
 
-    def _outcomes(self) -> dict[str, Outcome]:
-        outcomes: dict[str, Outcome] = {}
+    def _outcomes(self) -> dict[str, LoadOutcome]:
+        outcomes: dict[str, LoadOutcome] = {}
         for job_id, job in self.submitted.items():
-            outcome = outcomes.setdefault(job.kind.queue.name, Outcome())
+            outcome = outcomes.setdefault(job.kind.queue.name, LoadOutcome())
             outcome.jobs += 1
-            outcome.owed += job.value
-            state, at_s = self.shown.get(job_id, (JobState.RUNNING, math.inf))
-            expected = JobState.FAILED if job.poisoned else JobState.COMPLETED
-            took_s = at_s - job.sent_s
+            outcome.total_value += job.value
+            state, at_s = self.final_states.get(job_id, (JobState.RUNNING, math.inf))
+            expected = JobState.FAILED if job.poisoned_tasks else JobState.COMPLETED
+            took_s = at_s - job.submitted_s
             if state is not expected or took_s > LATE_FACTOR * job.objective_s:
                 continue
             is_late = took_s > job.objective_s
             outcome.late += is_late
             outcome.in_time += not is_late
-            outcome.earned += job.value * (LATE_SHARE if is_late else 1.0)
+            outcome.earned_value += job.value * (LATE_VALUE_SHARE if is_late else 1.0)
         return outcomes
--- a/tests/test_workflow_forecast.py
+++ b/tests/test_workflow_forecast.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fuchsiadale.decision.resources import Resources
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.specification import (
     JobRecord,
     JobSpecification,
@@ -40,31 +40,31 @@
 
 
 def test_estimate_counts_until_something_is_known():
-    assert Durations().expect_s("queue", 2.0) == 2.0
+    assert DurationModel().predict_s("queue", 2.0) == 2.0
 
 
 @pytest.mark.parametrize("estimated_s", [0.5, 1.0, 4.0])
 def test_estimates_that_say_nothing_give_way_to_what_work_takes(estimated_s: float):
-    durations = Durations()
+    durations = DurationModel()
     for number in range(200):
         durations.observe("queue", 0.25 * 2.0 ** (number % 5), 4.0, 1.0)
-    assert durations.expect_s("queue", estimated_s) == pytest.approx(4.0, rel=0.25)
+    assert durations.predict_s("queue", estimated_s) == pytest.approx(4.0, rel=0.25)
 
 
 def test_estimates_that_are_too_low_by_a_factor_are_corrected():
-    durations = Durations()
+    durations = DurationModel()
     for number in range(200):
         estimated_s = 0.25 * 2.0 ** (number % 5)
         durations.observe("queue", estimated_s, 3.0 * estimated_s, 1.0)
-    assert durations.expect_s("queue", 2.0) == pytest.approx(6.0, rel=0.15)
-    assert durations.expect_s("other", 2.0) == 2.0
+    assert durations.predict_s("queue", 2.0) == pytest.approx(6.0, rel=0.15)
+    assert durations.predict_s("other", 2.0) == 2.0
 
 
 def test_change_is_learnt_though_much_was_seen_before():
-    durations = Durations()
+    durations = DurationModel()
     for ran_s in [1.0] * 500 + [3.0] * 150:
         durations.observe("queue", 1.0, ran_s, 1.0)
-    assert durations.expect_s("queue", 1.0) == pytest.approx(3.0, rel=0.25)
+    assert durations.predict_s("queue", 1.0) == pytest.approx(3.0, rel=0.25)
 
 
 def test_objective_of_a_narrow_job_is_its_chain_stretched():
@@ -98,5 +98,5 @@
     cell.end("worker-0", task, run)
     cell.look_at_all()
     job = cell.scheduler.jobs[make_record().job_id]
-    step_s = cell.scheduler.forecast().step_s(job.steps[0, 0])
+    step_s = cell.scheduler.forecast().predict_task_s(job.steps[0, 0])
     assert step_s == pytest.approx(6.0, abs=0.1)
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -7,12 +7,12 @@
 import pytest
 
 from fuchsiadale.decision.workflow import forecast, ordering, planning
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.messages import EndKind
-from fuchsiadale.decision.workflow.planning import MAX_UNPLACED
-from fuchsiadale.decision.workflow.triage import Demand, jobs_to_defer
+from fuchsiadale.decision.workflow.planning import MAX_UNPLACED_STEPS
+from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 from tests.load_kinds import make_guild_kinds, make_guild_pools
-from tests.load_world import LoadWorld, Outcome
+from tests.load_world import LoadOutcome, LoadSimulation
 from tests.workflow_builders import (
     Cell,
     make_configuration,
@@ -24,13 +24,15 @@
 TICK_S = 0.05
 
 
-def play(cell: Cell, arrivals: list[tuple[float, object]], until_s: float) -> set[str]:
+def simulate(
+    cell: Cell, arrivals: list[tuple[float, object]], until_s: float
+) -> set[str]:
     """Play arrivals and return the jobs that met their objective."""
     start_s = cell.clock.now()
-    ends: list[tuple[float, int, str, object, int]] = []
+    end_queue: list[tuple[float, int, str, object, int]] = []
     started = 0
-    met: set[str] = set()
-    due = {}
+    met_jobs: set[str] = set()
+    due_s_by_job = {}
     while cell.clock.now() - start_s < until_s:
         now_s = cell.clock.now()
         while arrivals and start_s + arrivals[0][0] <= now_s:
@@ -39,29 +41,29 @@
             job = cell.scheduler.jobs[record.job_id]  # type: ignore[attr-defined]
             queue = cell.scheduler.queue_of(job)
             assert queue is not None
-            forecast = cell.scheduler.forecast()
-            due[job.record.job_id] = forecast.due_s(job, 0, queue)
+            cell_forecast = cell.scheduler.forecast()
+            due_s_by_job[job.record.job_id] = cell_forecast.due_s(job, 0, queue)
         cell.run_plan()
         for order in cell.starts[started:]:
             job = cell.scheduler.jobs[order.task.step.job_id]
             step = job.record.specification.steps[order.task.step.step]
             item = (now_s + step.estimated_s, started, order.worker_id)
-            heappush(ends, (*item, order.task, order.run))
+            heappush(end_queue, (*item, order.task, order.run))
             started += 1
-        while ends and ends[0][0] <= now_s:
-            _, _, worker_id, task, run = heappop(ends)
+        while end_queue and end_queue[0][0] <= now_s:
+            _, _, worker_id, task, run = heappop(end_queue)
             if (task, run) in cell.running[worker_id]:
                 cell.end(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
         cell.look_at_all()
         for job_id, job in cell.scheduler.jobs.items():
             ended_s = job.ended_s
-            if ended_s is not None and ended_s <= due[job_id]:
-                met.add(job_id)
+            if ended_s is not None and ended_s <= due_s_by_job[job_id]:
+                met_jobs.add(job_id)
         cell.clock.advance(TICK_S)
-    return met
+    return met_jobs
 
 
-def burst(count: int) -> list[tuple[float, object]]:
+def make_burst(count: int) -> list[tuple[float, object]]:
     """Return a burst of small jobs among a few large ones, all within a second."""
     jobs = []
     for number in range(count):
@@ -82,9 +84,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     """The load: 40 jobs in a second, four times what the pool can end in time."""
-    with_triage = play(make_loaded_cell(), burst(40), 8.0)
-    monkeypatch.setattr(ordering, "jobs_to_defer", lambda demands, now_s: set())
-    without = play(make_loaded_cell(), burst(40), 8.0)
+    with_triage = simulate(make_loaded_cell(), make_burst(40), 8.0)
+    monkeypatch.setattr(ordering, "select_deferred_jobs", lambda demands, now_s: set())
+    without = simulate(make_loaded_cell(), make_burst(40), 8.0)
     assert len(with_triage) > len(without)
 
 
@@ -94,12 +96,12 @@
         (0.0, make_record(number, make_step(4, 1000, estimated_s=1.0)))
         for number in range(12)
     ]
-    assert len(play(make_loaded_cell(), backlog, 10.0)) == 8
+    assert len(simulate(make_loaded_cell(), backlog, 10.0)) == 8
 
 
 def test_nothing_is_deferred_when_all_can_be_met():
     demands = [Demand(str(index), 0.1, 1.0, 2.0 + index) for index in range(10)]
-    assert jobs_to_defer(demands, 0.0) == set()
+    assert select_deferred_jobs(demands, 0.0) == set()
 
 
 def test_largest_job_is_deferred_first():
@@ -108,7 +110,7 @@
         Demand("large", 0.9, 0.2, 0.95),
         Demand("other", 0.3, 0.2, 1.2),
     ]
-    assert jobs_to_defer(demands, 0.0) == {"large"}
+    assert select_deferred_jobs(demands, 0.0) == {"large"}
 
 
 def test_plan_does_not_try_every_step_of_a_long_queue():
@@ -120,30 +122,30 @@
     plan_step = cell.planner._plan_step
     cell.planner._plan_step = lambda *args: tried.append(1) or plan_step(*args)  # type: ignore[method-assign,func-returns-value]
     cell.run_plan()
-    assert len(tried) == MAX_UNPLACED
+    assert len(tried) == MAX_UNPLACED_STEPS
 
 
-SITE_SEEDS = range(10)
-SITE_S = 30.0
+SIMULATION_SEEDS = range(10)
+SIMULATED_S = 30.0
 
 
-def play_imaging() -> float:
+def simulate_imaging_pool() -> float:
     """Play the Guild's imaging pool and return the share of worth that was earned."""
-    total = Outcome()
+    total = LoadOutcome()
     kinds = [kind for kind in make_guild_kinds() if kind.queue.pool == "imaging"]
-    for seed in SITE_SEEDS:
-        world = LoadWorld(kinds, make_guild_pools()[1:], seed)
-        for outcome in world.play(SITE_S).values():
-            total.owed += outcome.owed
-            total.earned += outcome.earned
-    return total.share
+    for seed in SIMULATION_SEEDS:
+        world = LoadSimulation(kinds, make_guild_pools()[1:], seed)
+        for outcome in world.simulate(SIMULATED_S).values():
+            total.total_value += outcome.total_value
+            total.earned_value += outcome.earned_value
+    return total.earned_share
 
 
 @pytest.mark.parametrize(
     ("target", "name", "replacement"),
     [
-        (Durations, "observe", lambda *args: None),
-        (planning, "FRONT_STEPS", 0),
+        (DurationModel, "observe", lambda *args: None),
+        (planning, "MAX_RENEWING_STEPS", 0),
         (forecast, "WAVE_SHARE", 100.0),
     ],
     ids=["learnt durations", "early tickets", "waves"],
@@ -152,6 +154,6 @@
     monkeypatch: pytest.MonkeyPatch, target: object, name: str, replacement: object
 ):
     """The load: the Guild's imaging pool, full, with estimates that say nothing."""
-    present = play_imaging()
+    present = simulate_imaging_pool()
     monkeypatch.setattr(target, name, replacement)
-    assert present > play_imaging()
+    assert present > simulate_imaging_pool()
--- a/tests/test_workflow_pacing.py
+++ b/tests/test_workflow_pacing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fuchsiadale.decision.workflow.jobs import Run, RunState, make_job
-from fuchsiadale.decision.workflow.pacing import pace_orders
+from fuchsiadale.decision.workflow.pacing import adjust_filler_paces
 from tests.workflow_builders import make_record, make_step
 
 
@@ -17,19 +17,19 @@
 
 
 def test_filling_work_stops_where_a_target_is_missed():
-    orders = pace_orders(make_runs(101.0))
+    orders = adjust_filler_paces(make_runs(101.0))
     assert [(order.task.step.step, order.percent) for order in orders] == [(1, 0)]
 
 
 def test_filling_work_slows_near_the_target_and_recovers_below_it():
     runs = make_runs(90.0)
-    assert [order.percent for order in pace_orders(runs)] == [50]
+    assert [order.percent for order in adjust_filler_paces(runs)] == [50]
     runs[0].load = 70.0
-    assert pace_orders(runs) == []
+    assert adjust_filler_paces(runs) == []
     runs[0].load = 50.0
-    percents = [order.percent for _ in range(4) for order in pace_orders(runs)]
+    percents = [order.percent for _ in range(4) for order in adjust_filler_paces(runs)]
     assert percents == [70, 90, 100]
 
 
 def test_filling_work_alone_is_not_slowed():
-    assert pace_orders(make_runs(500.0)[1:]) == []
+    assert adjust_filler_paces(make_runs(500.0)[1:]) == []
--- a/tests/test_workflow_planning.py
+++ b/tests/test_workflow_planning.py
@@ -7,7 +7,7 @@
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.decision.workflow.messages import EndKind
-from fuchsiadale.decision.workflow.planning import FRONT_STEPS
+from fuchsiadale.decision.workflow.planning import MAX_RENEWING_STEPS
 from tests.workflow_builders import (
     ADVICE,
     LANES,
@@ -282,22 +282,22 @@
     cell.answer_advice()
     cell.run_plan()
     assert len(cell.starts) == 1
-    last = FRONT_STEPS + 1
+    last = MAX_RENEWING_STEPS + 1
     for number in range(1, last + 1):
         cell.scheduler.accept(make_record(number, make_step(1, 4000)), 0.0)
-    asked = ask_until_quiet(cell)
+    asked = request_all_tickets(cell)
     assert asked == [make_record(number).job_id for number in range(1, last)]
     cell.clock.advance(1.0)
     cell.look_at_all()
-    assert ask_until_quiet(cell) == []
+    assert request_all_tickets(cell) == []
     cell.clock.advance(0.3)
-    assert ask_until_quiet(cell) == asked
+    assert request_all_tickets(cell) == asked
     cell.clock.advance(0.4)
     cell.run_plan()
     assert [order.step.job_id for order in cell.asked] == [make_record(last).job_id]
 
 
-def ask_until_quiet(cell: Cell) -> list[str]:
+def request_all_tickets(cell: Cell) -> list[str]:
     """Plan and grant until nothing is asked; return the jobs that were asked for."""
     jobs: list[str] = []
     while True:
--- a/tests/test_workflow_takeover.py
+++ b/tests/test_workflow_takeover.py
@@ -18,7 +18,7 @@
 
 def take_over(cell: Cell, runs: dict[str, list[tuple[TaskName, int]]]) -> None:
     """Begin as the second owner of recorded workers."""
-    cell.scheduler.observe_workers(cell.entries)
+    cell.scheduler.update_registrations(cell.entries)
     for entry in cell.entries:
         worker_id = entry.worker_id
         cell.running.setdefault(worker_id, {})
@@ -72,12 +72,12 @@
     cell.scheduler.recover(make_record(1), None, 0.0)
     held = task_of(cell, 0)
     take_over(cell, {"worker-1": [(held, 3)]})
-    cell.scheduler.note_failure_to_answer("worker-1")
+    cell.scheduler.mark_worker_unresponsive("worker-1")
     cell.look("worker-0")
     cell.run_plan()
     assert [order.task for order in cell.starts] == [task_of(cell, 1)]
     cell.clock.advance(LAPSE_S + 0.1)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.run_plan()
     assert cell.starts[-1].task == held
     assert cell.starts[-1].run > 3
@@ -107,9 +107,9 @@
 def test_worker_that_has_left_is_forgotten_in_the_record_too():
     cell = Cell(workers=2)
     cell.adopt()
-    cell.scheduler.note_failure_to_answer("worker-1")
-    cell.scheduler.observe_workers(cell.entries[:1])
-    assert cell.scheduler.forget_gone_workers() == ["worker-1"]
+    cell.scheduler.mark_worker_unresponsive("worker-1")
+    cell.scheduler.update_registrations(cell.entries[:1])
+    assert cell.scheduler.remove_gone_workers() == ["worker-1"]
     assert cell.scheduler.retired_workers == {"worker-1"}
 
 
@@ -121,15 +121,15 @@
     assert len(cell.starts) == 4
     for task, run in list(cell.running["worker-1"]):
         cell.end("worker-1", task, run)
-    cell.scheduler.note_lease("worker-0", cell.clock.now() + 6.0)
-    cell.scheduler.note_failure_to_answer("worker-0")
+    cell.scheduler.extend_lease("worker-0", cell.clock.now() + 6.0)
+    cell.scheduler.mark_worker_unresponsive("worker-0")
     cell.clock.advance(5.9)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.look("worker-1")
     cell.run_plan()
     assert len(cell.starts) == 4
     cell.clock.advance(0.2)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.run_plan()
     assert len(cell.starts) == 6
     assert {order.worker_id for order in cell.starts[4:]} == {"worker-1"}
@@ -165,15 +165,15 @@
     index = int(busy[-1])
     draining = make_entry(index, state=WorkerState.DRAINING, remaining_s=2.0)
     entries = [make_entry(1 - index), draining]
-    cell.scheduler.observe_workers(entries)
+    cell.scheduler.update_registrations(entries)
     cell.scheduler.accept(make_record(1, make_step(1)), 0.0)
     cell.run_plan()
     assert cell.starts[-1].worker_id != busy
-    cell.obey(cell.scheduler.check_time())
+    cell.obey(cell.scheduler.check_timeouts())
     assert cell.stops == []
     cell.clock.advance(1.5)
-    cell.scheduler.observe_workers(entries)
-    cell.obey(cell.scheduler.check_time())
+    cell.scheduler.update_registrations(entries)
+    cell.obey(cell.scheduler.check_timeouts())
     assert len(cell.stops) == 4
     cell.look(busy)
     cell.run_plan()
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -139,7 +139,7 @@
 
     def adopt(self) -> None:
         """Let every worker register and answer."""
-        self.scheduler.observe_workers(self.entries)
+        self.scheduler.update_registrations(self.entries)
         for entry in self.entries:
             self.running.setdefault(entry.worker_id, {})
             self.scheduler.workers[entry.worker_id].note_recorded(())
@@ -158,7 +158,7 @@
             ),
             tuple(self.ends.get(worker_id, ())),
         )
-        self.obey(self.scheduler.note_report(worker_id, report, sent_s))
+        self.obey(self.scheduler.process_report(worker_id, report, sent_s))
 
     def look_at_all(self) -> None:
         """Let every worker report."""
@@ -195,7 +195,7 @@
         for order in asked:
             allowed = order.worker_ids if granted is None else tuple(granted)
             tickets = {item: "t" for item in order.worker_ids if item in allowed}
-            self.scheduler.note_advice(order, tickets, 2.0)
+            self.scheduler.process_advice(order, tickets, 2.0)
 
     def end(
         self,
--- a/tests/workflow_world.py
+++ b/tests/workflow_world.py
@@ -114,7 +114,7 @@
             self.scheduler.recover(record, self.progress.get(record.job_id), 0.0)
         for job_id in self.cancelled:
             self.scheduler.cancel(job_id)
-        self.scheduler.observe_workers(self.entries.values())
+        self.scheduler.update_registrations(self.entries.values())
         self.unsent = []
         until_s = self.clock.now() + LAPSE_S
         for worker_id in self.scheduler.workers:
@@ -139,7 +139,7 @@
             if not self.scheduler.is_wanted(order):
                 continue
             if self.scheduler.may_send(order):
-                self.scheduler.note_lease(order.worker_id, now + LAPSE_S)
+                self.scheduler.extend_lease(order.worker_id, now + LAPSE_S)
                 self.pending.append(Sent(self.epoch, order, now + LEASE_S))
             else:
                 self.unsent.append(order)
@@ -157,7 +157,7 @@
 
     def plan(self) -> None:
         """Let the owner plan."""
-        self.send(self.scheduler.check_time())
+        self.send(self.scheduler.check_timeouts())
         self.send(self.planner.plan(LANES))
 
     def commit(self) -> None:
@@ -180,7 +180,7 @@
         worker = self.workers[worker_id]
         now = self.clock.now()
         known = self.scheduler.workers[worker_id]
-        self.scheduler.note_lease(worker_id, now + LAPSE_S)
+        self.scheduler.extend_lease(worker_id, now + LAPSE_S)
         if worker.fence > self.epoch:
             return
         worker.fence = self.epoch
@@ -194,7 +194,7 @@
                     self.acknowledged_done.add(end.task)
             worker.ends = [end for end in worker.ends if end.number > through]
         if not is_answered:
-            self.scheduler.note_failure_to_answer(worker_id)
+            self.scheduler.mark_worker_unresponsive(worker_id)
             return
         rows = tuple(
             RunningRow(task, run, checkpoint, 10, 1.0)
@@ -202,7 +202,7 @@
         )
         report = WorkerReport(worker.born_ms, 0, rows, tuple(worker.ends))
         self.clock.advance(0.001)
-        self.send(self.scheduler.note_report(worker_id, report, now))
+        self.send(self.scheduler.process_report(worker_id, report, now))
 
     # What happens to orders
 
