--- a/src/fuchsiadale/decision/workflow/durations.py
+++ b/src/fuchsiadale/decision/workflow/durations.py
@@ -1,9 +1,10 @@
 """Learns from ended runs how long tasks take for a given estimate.
 
-Answers callers whose estimates are far off, each queue in its own way. The logarithm
-of the ratio between duration and estimate is fitted, queue by queue, by a weighted
-linear regression on the logarithm of the estimate, shrunk towards the estimate itself
-(ridge regression; Hoerl and Kennard, Technometrics, 1970).
+The model corrects the estimates of callers, which may be far off and whose error
+differs between queues. For each queue, the logarithm of the ratio between duration and
+estimate is fitted by a weighted linear regression on the logarithm of the estimate,
+shrunk towards the estimate itself (ridge regression; Hoerl and Kennard, Technometrics,
+1970).
 """
 
 from __future__ import annotations
@@ -13,31 +14,34 @@
 from attrs import define
 
 PRIOR_WEIGHT = 2.0
-"""Steps' worth of trust in the estimates as they are."""
+"""Weight of the uncorrected estimates, in number of steps."""
 
 MAX_WEIGHT = 60.0
-"""Steps that are remembered; older ones fade, so that a change is learnt in minutes."""
+"""Maximum total weight of past observations, in number of steps.
+
+Older steps lose weight, so that the model adapts to a change within minutes.
+"""
 
 MIN_DURATION_S = 0.01
-"""Bound below which durations and estimates are not told apart, in seconds."""
+"""Lower bound on durations and estimates, in seconds; shorter ones count as this."""
 
 
 @define
 class _QueueRegression:
-    """Weighted sums over the steps of a queue, of logarithms.
+    """Weighted linear regression over the tasks of a queue, on logarithms.
 
     Attributes
     ----------
     weight : float
-        Steps observed.
+        Total weight of the observed tasks; the tasks of one step weigh 1 together.
     estimate : float
-        Mean of the estimates' logarithm.
+        Mean of the logarithm of the estimates.
     ratio : float
-        Mean of the logarithm of duration over estimate.
+        Mean of the logarithm of the ratio between duration and estimate.
     spread : float
-        Sum of squared deviations of the estimates' logarithm.
+        Sum of the squared deviations of the logarithm of the estimates.
     product : float
-        Sum of products of both deviations.
+        Sum of the products of the deviations of both logarithms.
     """
 
     total_weight: float = 0.0
@@ -47,7 +51,20 @@
     deviation_products: float = 0.0
 
     def observe(self, estimate: float, ratio: float, weight: float) -> None:
-        """Count a task (West, "Updating mean and variance estimates", CACM, 1979)."""
+        """Add a task to the regression.
+
+        The means and sums are updated incrementally (West, "Updating mean and variance
+        estimates", CACM, 1979).
+
+        Parameters
+        ----------
+        estimate : float
+            Logarithm of the estimate.
+        ratio : float
+            Logarithm of the ratio between duration and estimate.
+        weight : float
+            Weight of the task.
+        """
         if self.total_weight > MAX_WEIGHT:
             kept = MAX_WEIGHT / self.total_weight
             self.total_weight *= kept
@@ -62,7 +79,7 @@
         self.mean_ratio += share * (ratio - self.mean_ratio)
 
     def predict(self, estimate: float) -> float:
-        """Return the logarithm of the duration to expect."""
+        """Return the logarithm of the expected duration for that of an estimate."""
         offset = (
             self.mean_ratio * self.total_weight / (self.total_weight + PRIOR_WEIGHT)
         )
@@ -72,7 +89,7 @@
 
 
 class DurationModel:
-    """Foretells how long tasks take, by queue and estimate."""
+    """Predicts how long tasks take, by queue and estimate."""
 
     def __init__(self) -> None:
         self._regressions: dict[str, _QueueRegression] = {}
@@ -80,18 +97,18 @@
     def observe(
         self, queue: str, estimated_s: float, ran_s: float, weight: float
     ) -> None:
-        """Learn from a whole run.
+        """Learn from a run that executed a whole task.
 
         Parameters
         ----------
         queue : str
-            The queue of its job.
+            The queue of the job.
         estimated_s : float
-            What the caller estimated, in seconds.
+            The caller's estimate in seconds; a run without one is ignored.
         ran_s : float
-            How long it ran, in seconds.
+            Duration of the run, in seconds.
         weight : float
-            Its part of its step; tasks of a step resemble each other.
+            Share of the task in its step, as the tasks of a step resemble each other.
         """
         if estimated_s <= 0.0:
             return
@@ -102,7 +119,7 @@
         )
 
     def predict_s(self, queue: str, estimated_s: float) -> float:
-        """Return how long a task will run, in seconds; 0 if nothing is known."""
+        """Return the expected duration of a task in seconds, 0 if nothing is known."""
         fit = self._regressions.get(queue)
         if fit is None:
             return estimated_s
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -1,8 +1,9 @@
-"""Foretells how long jobs still take and when their objectives lapse.
+"""Predicts how long jobs still take and when they are due.
 
-A job's objective is its queue's stretch times the longest chain of its work, and the
-queue's slack. A step that is wider than a quarter of its pool, or than its workspace
-may run at once, counts in waves.
+The objective of a job is a bound on its duration: the stretch of its queue times the
+critical path of its steps, plus the slack of the queue. The critical path is the
+longest chain of dependent work. For the objective, a step that is wider than a quarter
+of its pool, or than its workspace may run at once, counts as several waves in sequence.
 """
 
 from __future__ import annotations
@@ -20,12 +21,27 @@
 from fuchsiadale.decision.workflow.placement import count_fitting_tasks
 
 WAVE_SHARE = 0.25
-"""Share of a pool that a step may take before it counts in waves, by contract."""
+"""Share of a pool that one wave of a step may take.
+
+The contract with the users sets it.
+"""
 
 
 @frozen
 class _OccurrenceForecast:
-    """What lies ahead of an occurrence after some tasks of its job were done."""
+    """Due time and remaining work of an occurrence of a job.
+
+    Attributes
+    ----------
+    done_tasks : int
+        Number of tasks of the job that were done when the forecast was made.
+    due_s : float
+        When the occurrence has to end to meet its objective, on the loop's clock.
+    critical_path_s : float
+        Length of the critical path of the work that is not done, in seconds.
+    work_s : float
+        Time for which the remaining work would fill the whole pool, in seconds.
+    """
 
     done_tasks: int
     due_s: float
@@ -34,16 +50,16 @@
 
 
 class Forecast:
-    """Answers questions about what lies ahead, as far as is known when it is made.
+    """Predicts durations and due times from the state of the cell at one time.
 
     Parameters
     ----------
     durations : Durations
-        What was learnt of tasks' durations.
+        The model that predicts the durations of tasks.
     workers : dict of str to list of WorkerLedger
-        The workers of each pool.
+        The workers, by pool.
     limit_of : callable
-        Returns the limit of a workspace.
+        Returns the resources that a workspace may use at once.
     """
 
     def __init__(
@@ -60,7 +76,7 @@
         self._occurrence_forecasts: dict[tuple[str, int], _OccurrenceForecast] = {}
 
     def predict_task_s(self, step: Step) -> float:
-        """Return how long a task of a step takes, in seconds."""
+        """Return the expected duration of a task of a step, in seconds."""
         if step.ended_runs:
             return step.ended_runs_s / step.ended_runs
         predicted_s = self._predicted_task_s.get(step)
@@ -72,17 +88,17 @@
         return predicted_s
 
     def due_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return when an occurrence's objective lapses, on the loop's clock."""
+        """Return when an occurrence is due by its objective, on the loop's clock."""
         return self._forecast_occurrence(job, occurrence, queue).due_s
 
     def remaining_critical_path_s(
         self, job: Job, occurrence: int, queue: Queue
     ) -> float:
-        """Return the longest chain of work that is not done, in seconds."""
+        """Return the length of the critical path of unfinished steps, in seconds."""
         return self._forecast_occurrence(job, occurrence, queue).critical_path_s
 
     def remaining_work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return the seconds for which remaining work would fill the whole pool."""
+        """Return how long unfinished tasks would fill the whole pool, in seconds."""
         return self._forecast_occurrence(job, occurrence, queue).work_s
 
     def _forecast_occurrence(
@@ -140,7 +156,7 @@
         return ceil(specification.count / max(concurrent_tasks, 1.0))
 
     def _count_pool_places(self, pool: str, needed: Resources) -> int:
-        """Return how many such tasks a pool can run at once."""
+        """Return how many tasks that need `needed` each a pool can run at once."""
         key = (pool, needed)
         pool_places = self._pool_places_cache.get(key)
         if pool_places is None:
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -1,8 +1,8 @@
-"""The order in which waiting steps are served.
+"""Sorts waiting steps into the order in which they are served.
 
-Answers a pool that is asked for more than it can do: urgent queues first, then jobs
-that can still meet their objective, and among them the one whose objective lapses
-first; jobs beyond their workspace's rate come last.
+The order matters on an overloaded pool. Steps of urgent queues come first. Within a
+priority, jobs that can still meet their objective come first, and among these the job
+that is due first. Jobs beyond the submission rate of their workspace come last.
 """
 
 from __future__ import annotations
@@ -17,23 +17,26 @@
 from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 
 LEAST_DURATION_SHARE = 0.7
-"""Share of an estimate that work surely takes: callers are off by half on average."""
+"""Share of an expected duration that work takes at the least.
+
+The estimates of callers are off by half on average.
+"""
 
 
 @frozen
 class WaitingStep:
-    """A step with waiting tasks, in its place of the order.
+    """A step with waiting tasks, and what its place in the order depends on.
 
     Attributes
     ----------
     step : Step
         The step.
     queue : Queue
-        Its queue.
+        The queue of its job.
     due_s : float
-        When its job's objective lapses, on the loop's clock.
+        When its job has to end to meet its objective, on the loop's clock.
     is_hopeless : bool
-        Whether its job cannot meet its objective any more.
+        Whether its job can no longer meet its objective.
     """
 
     step: Step
@@ -43,7 +46,7 @@
 
 
 def is_infeasible(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
-    """Tell whether a step's job cannot meet its objective any more."""
+    """Tell whether the job of a step can no longer meet its objective."""
     if step.specification.is_lasting:
         return False
     job, occurrence = step.job, step.name.occurrence
@@ -59,16 +62,16 @@
     forecast: Forecast,
     now_s: float,
 ) -> list[WaitingStep]:
-    """Return the steps with waiting tasks, the first to serve first.
+    """Return the steps with waiting tasks in the order in which to serve them.
 
     Parameters
     ----------
     steps : iterable of Step
-        Steps whose predecessors are done.
+        The steps whose predecessors are done.
     queue_of : callable
-        Returns a job's queue.
+        Returns the queue of a job, or None if it is not configured.
     forecast : Forecast
-        Foretells durations and objectives.
+        Predicts the remaining time and the due time of jobs.
     now_s : float
         The time on the loop's clock.
     """
@@ -101,7 +104,10 @@
 def _find_deferred_jobs(
     waiting: list[WaitingStep], forecast: Forecast, now_s: float
 ) -> set[str]:
-    """Return the jobs that have to wait so that most of their urgency are in time."""
+    """Return the ids of the jobs to defer so that the most jobs are in time.
+
+    Jobs of each pool and priority are considered by themselves.
+    """
     demands: dict[tuple[str, int], dict[str, Demand]] = {}
     for item in waiting:
         job, step, queue = item.step.job, item.step, item.queue
--- a/src/fuchsiadale/decision/workflow/pacing.py
+++ b/src/fuchsiadale/decision/workflow/pacing.py
@@ -1,7 +1,8 @@
-"""Slows filling work down where it disturbs serving work.
+"""Slows filler tasks down where they disturb serving tasks.
 
-Answers serving tasks whose tail latency rises beyond its target because tasks beside
-them take what they leave unused.
+Serving tasks answer requests under a target for their tail latency. Filler tasks use
+the processors that other tasks on a worker leave idle, which can raise that latency
+beyond its target.
 """
 
 from __future__ import annotations
@@ -12,20 +13,31 @@
 from fuchsiadale.decision.workflow.messages import PaceRun
 
 SLOWDOWN_SHARE = 0.85
-"""Share of a target from which filling work is slowed to half its pace."""
+"""Share of the latency target from which the pace of filler tasks is halved."""
 
 SPEEDUP_SHARE = 0.6
-"""Share of a target below which filling work is let work faster again."""
+"""Share of the latency target below which filler tasks may speed up again."""
 
 PACE_STEP_PERCENT = 20
-"""How much faster filling work is let work at each calm report."""
+"""Increase of the pace for each report of low latency, in percent of full speed."""
 
 FULL_PERCENT = 100
 MS_PER_S = 1000.0
 
 
 def adjust_filler_paces(runs: Iterable[Run]) -> list[PaceRun]:
-    """Return the orders that fit what a worker's runs report."""
+    """Adjust the pace of the filler tasks on a worker to its serving tasks.
+
+    Parameters
+    ----------
+    runs : iterable of Run
+        All runs on the worker, with the loads that it last reported.
+
+    Returns
+    -------
+    orders : list of PaceRun
+        An order for each run whose pace changes.
+    """
     running = [run for run in runs if run.state is RunState.RUNNING]
     fillers = [run for run in running if run.task.step.specification.is_filler]
     if not fillers:
@@ -42,7 +54,7 @@
 
 
 def _latency_ratio(run: Run) -> float:
-    """Return a serving run's tail latency as a share of its target."""
+    """Return the tail latency of a serving run as a share of its target, else 0."""
     target_s = run.task.step.specification.target_s
     if not target_s or run.load is None:
         return 0.0
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -1,4 +1,4 @@
-"""Chooses workers for tasks, and for all tasks of a gang at once."""
+"""Chooses workers for single tasks and for whole gangs."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 
 EARLIER_FAILURE_PENALTY = 100.0
-"""Score added where the task has failed before; above every other term."""
+"""Score added on a worker where the task failed before; outweighs all other terms."""
 
 INTERFERENCE_PENALTY = 10.0
-"""Score added where filling and serving tasks would disturb each other."""
+"""Score added where a filler task and a serving task would share a worker."""
 
 OTHER_RACK_PENALTY = 1.0
-"""Score added outside the preferred rack; above any difference in fit."""
+"""Score added outside the preferred rack; outweighs any difference in fit."""
 
 
 def is_suitable(step: Step, worker: WorkerLedger) -> bool:
-    """Tell whether a worker could ever run a task of a step."""
+    """Tell whether a worker, if empty, could run a task of a step."""
     needed = step.specification
     if needed.required_label and needed.required_label not in worker.entry.labels:
         return False
@@ -29,18 +29,24 @@
 def choose_worker(
     task: Task, workers: Iterable[WorkerLedger], headroom_share: float = 0.0
 ) -> WorkerLedger | None:
-    """Return the worker with room that fits a task best, or None.
+    """Return the worker that fits a task best.
 
-    Best fit keeps whole workers free for tasks that need one.
+    Best fit leaves whole workers free for the tasks that need one.
 
     Parameters
     ----------
     task : Task
-        The task.
+        The task to place.
     workers : iterable of WorkerLedger
-        The workers that may run it.
+        The workers that may run the task.
     kept_share : float, default=0.0
-        Share of a worker's processors and memory that has to stay free.
+        Share of a worker's processors and memory that must stay free, unless the
+        worker has no runs.
+
+    Returns
+    -------
+    best : WorkerLedger or None
+        The worker; None if no worker has room.
     """
     step = task.step
     best: WorkerLedger | None = None
@@ -59,9 +65,14 @@
 def choose_gang_workers(
     tasks: list[Task], workers: Iterable[WorkerLedger]
 ) -> list[tuple[Task, WorkerLedger]] | None:
-    """Return workers for all tasks of a gang, or None if they do not fit at once.
+    """Return a worker for each task of a gang.
+
+    If the tasks are slow when spread over racks, each single rack is tried first.
 
-    Members that are slow over several racks are tried on one rack first.
+    Returns
+    -------
+    placements : list of tuple of Task and WorkerLedger, or None
+        The tasks with their workers; None if the tasks do not all fit at once.
     """
     candidates = list(workers)
     if tasks[0].step.specification.same_rack:
@@ -150,7 +161,7 @@
 
 
 def count_fitting_tasks(free: Resources, needed: Resources) -> int:
-    """Return how many tasks fit into some room."""
+    """Return how many tasks that need `needed` each fit into `free`."""
     counts = [
         available // need
         for available, need in (
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -1,4 +1,4 @@
-"""Decides what to start next, whom to ask for advice and what to stop for it."""
+"""Plans starts of waiting tasks, calls for advice and preemptions."""
 
 from __future__ import annotations
 
@@ -21,44 +21,75 @@
 from fuchsiadale.decision.workflow.scheduler import Scheduler
 
 MAX_WORKERS_PER_ADVICE_CALL = 30
-"""Workers named in one call for advice: what the objective allows for."""
+"""Maximum number of workers named in one call for advice.
+
+A call takes longer for each worker named; this many leave enough time to meet the
+objective.
+"""
 
 MAX_RESERVING_STEPS = 1
-"""Steps that may hold workers free at once in each pool; idle room serves nobody."""
+"""Maximum number of steps per pool that reserve workers, as reserved room is idle."""
 
 LARGE_TASK_SHARE = 0.5
-"""Share of a worker from which a task finds room only if it is held for it."""
+"""Share of a worker's capacity from which a task counts as large.
+
+A large task finds room only on a worker that is reserved for it.
+"""
 
 PREEMPTION_RESERVATION = -1
-"""Urgency of a claim: nothing is placed on a worker where room is being made."""
+"""Priority of the reservation of a worker on which runs are being preempted.
+
+It comes before the priority of every queue, so that nothing else is placed there.
+"""
 
 EXPENSIVE_ADVICE_S = 0.1
-"""Cost from which a call for advice may not take the last lanes."""
+"""Duration in seconds from which a call for advice counts as expensive.
 
-CALLS_KEPT_FOR_CHEAP_ADVICE = 2
-"""Lanes kept for cheap calls, which urgent steps wait for."""
+Expensive calls may not use the last concurrent calls.
+"""
 
+CALLS_KEPT_FOR_CHEAP_ADVICE = 2
+"""Concurrent calls for advice kept for cheap ones, which urgent steps wait for."""
 
 MAX_RENEWING_STEPS = 3
-"""Waiting steps of a pool whose tickets are renewed before there is room for them."""
+"""Steps per pool whose tickets are renewed while they still wait for room."""
 
 RENEWAL_CALL_SHARE = 0.5
-"""Share of the lanes that renewals may take; first calls for a step come before."""
+"""Share of the concurrent calls that renewals may use; first calls precede them."""
 
 RENEWAL_MARGIN_S = 0.1
-"""Seconds before it is needed at which a renewed ticket should be there."""
+"""Seconds before a renewed ticket is needed at which it should have arrived."""
 
 MAX_UNPLACED_STEPS = 24
-"""Steps of one urgency in a pool that are tried in vain before the rest is left."""
-
+"""Steps of one priority and pool that a plan fails to place before it skips others."""
 
 URGENT_HEADROOM_SHARE = 0.15
-"""Share of a worker that work which cannot be stopped leaves to urgent work."""
+"""Share of a worker that non-preemptible work leaves free for urgent work."""
 
 
 @define
 class _PlanState:
-    """What one plan has used up so far."""
+    """State of one planning pass.
+
+    Attributes
+    ----------
+    now_s : float
+        The time of the pass, on the loop's clock.
+    max_advice_calls : int
+        Maximum number of concurrent calls for advice.
+    usable_workers : dict of str to list of WorkerLedger
+        The workers that accept new tasks, by pool.
+    preemptor : Preemptor
+        Selects the runs to preempt.
+    reservations : dict of str to int
+        Priority of the work that a worker is reserved for, by worker.
+    reserving_steps : dict of str to int
+        Number of steps that have reserved workers, by pool.
+    unplaced_steps : dict of tuple of str and int to int
+        Number of steps without a newly placed task, by pool and priority.
+    renewing_steps : dict of str to int
+        Number of steps considered for renewal of their tickets, by pool.
+    """
 
     now_s: float
     max_advice_calls: int
@@ -70,11 +101,15 @@
     renewing_steps: dict[str, int] = Factory(dict)
 
     def is_reserved_against(self, worker: WorkerLedger, priority: int) -> bool:
-        """Tell whether a worker is kept free for more urgent work."""
+        """Tell whether a worker is reserved for work more urgent than `priority`."""
         return self.reservations.get(worker.entry.worker_id, priority) < priority
 
-    def may_renew_tickets(self, waiting: WaitingStep) -> bool:
-        """Tell whether a step is among the first of its pool that wait for room."""
+    def admit_ticket_renewal(self, waiting: WaitingStep) -> bool:
+        """Tell whether a step may renew its tickets while it waits for room.
+
+        Only the first steps of each pool may; each call counts one step. Steps of
+        infeasible jobs and of jobs beyond a submission rate never may.
+        """
         if waiting.is_infeasible or waiting.step.job.is_excess:
             return False
         pool = waiting.queue.pool
@@ -88,24 +123,24 @@
     Parameters
     ----------
     scheduler : Scheduler
-        Whose tasks it starts.
+        Holds the tasks and the workers, and takes the orders.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
 
     def plan(self, max_advice_calls: int) -> list[Order]:
-        """Start what can start now.
+        """Place the waiting tasks that can start now.
 
         Parameters
         ----------
         advice_lanes : int
-            Calls for advice that can be under way at once.
+            Maximum number of concurrent calls for advice.
 
         Returns
         -------
         orders : list of Order
-            What to carry out.
+            The orders to carry out.
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
@@ -192,7 +227,7 @@
         task_count: int,
         state: _PlanState,
     ) -> None:
-        """Keep workers free for a gang, or for a task that takes most of one."""
+        """Reserve workers for a gang or for a large task."""
         pool = waiting.queue.pool
         reserving_steps = state.reserving_steps.get(pool, 0)
         if reserving_steps < MAX_RESERVING_STEPS:
@@ -219,9 +254,14 @@
         task_count: int,
         state: _PlanState,
     ) -> bool:
-        """Stop less urgent runs; tell whether room for every task will be free.
+        """Preempt less urgent runs to make room for tasks of a step.
 
         A gang claims room for all of its tasks or for none.
+
+        Returns
+        -------
+        is_complete : bool
+            Whether there will be room for every task.
         """
         step = waiting.step
         needed = step.specification.charged
@@ -250,18 +290,18 @@
         task_count: int,
         state: _PlanState,
     ) -> None:
-        """Ask for tickets on workers that have, or can make, room for the step."""
+        """Request tickets for workers that have or can get room for tasks of a step."""
         scheduler = self._scheduler
         step, advice = waiting.step, waiting.queue.advice
         if advice is None or step.is_asking or state.now_s < step.ask_not_before_s:
             return
         needed = step.specification.charged
         priority = None if waiting.is_infeasible else waiting.queue.priority
-        may_renew = state.may_renew_tickets(waiting)
+        may_renew = state.admit_ticket_renewal(waiting)
         may_renew = (
             may_renew and scheduler.asking < RENEWAL_CALL_SHARE * state.max_advice_calls
         )
-        renewed_until_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
+        renewal_threshold_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
         total_fitting = 0
         candidates: list[tuple[int, str]] = []
         for worker in workers:
@@ -272,7 +312,7 @@
             fitting = count_fitting_tasks(free, needed)
             if step.has_ticket(worker_id, state.now_s):
                 total_fitting += fitting if task_count > 1 else 0
-                if may_renew and not step.has_ticket(worker_id, renewed_until_s):
+                if may_renew and not step.has_ticket(worker_id, renewal_threshold_s):
                     candidates.append((-fitting, worker_id))
                 continue
             total_fitting += fitting
@@ -302,7 +342,7 @@
 def _workers_with_tickets(
     waiting: WaitingStep, workers: list[WorkerLedger], now_s: float
 ) -> list[WorkerLedger]:
-    """Return the workers that may run a step now."""
+    """Return the workers that advice permits to run tasks of a step now."""
     if waiting.queue.advice is None:
         return workers
     return [
@@ -313,10 +353,11 @@
 
 
 def _required_headroom_share(waiting: WaitingStep) -> float:
-    """Return the share of a worker that a step has to leave free.
+    """Return the share of a worker that tasks of a step must leave free.
 
-    Answers bursts of urgent work on pools filled with work that loses what it has done
-    when it is stopped. Lasting work and work that resumes fill a worker whole.
+    The headroom is for bursts of urgent work on a pool that is full of work without
+    checkpoints, which would lose its progress if it was stopped. Tasks with checkpoints
+    and tasks that run until their job is cancelled may use all of a worker.
     """
     specification = waiting.step.specification
     is_short = not specification.is_lasting and not specification.is_checkpointing
@@ -329,7 +370,13 @@
     needed: Resources,
     priority: int,
 ) -> tuple[WorkerLedger, list[Run]] | None:
-    """Claim room on the worker where the fewest runs have to stop for it."""
+    """Claim room for a task on the worker where this preempts the fewest runs.
+
+    Returns
+    -------
+    claim : tuple of WorkerLedger and list of Run, or None
+        The worker and the runs to preempt there; None if no worker can make room.
+    """
     best: tuple[WorkerLedger, list[Run]] | None = None
     for worker in workers:
         victims = preemptor.claim_room(worker, needed, priority)
@@ -347,7 +394,7 @@
 
 
 def _has_large_tasks(step: Step, workers: list[WorkerLedger]) -> bool:
-    """Tell whether a task takes most of any worker that may run it."""
+    """Tell whether a task of a step is large for every worker that could run it."""
     charged = step.specification.charged
     return bool(workers) and all(
         charged.dominant_share(worker.entry.capacity) >= LARGE_TASK_SHARE
@@ -358,7 +405,10 @@
 def _select_workers_to_reserve(
     step: Step, workers: list[WorkerLedger], task_count: int
 ) -> set[str]:
-    """Return the workers to keep free until tasks fit, nearest to it first."""
+    """Return the workers to reserve for tasks, those that lack the least room first.
+
+    A gang gets none if its tasks do not fit on all of the workers.
+    """
     needed = step.specification.charged
     candidates = [
         worker
@@ -381,5 +431,8 @@
 
 
 def _gang_checkpoint(tasks: list[Task]) -> str:
-    """Return a checkpoint that every member of a gang can resume from."""
+    """Return the checkpoint that every task of a gang resumes from.
+
+    It is the first that a task has, or the empty string if none has one.
+    """
     return next((task.checkpoint for task in tasks if task.checkpoint), "")
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -1,7 +1,7 @@
-"""Chooses runs to stop so that more urgent work finds room.
+"""Selects runs to preempt so that more urgent work gets room.
 
-Answers a burst of urgent work on a full pool. Only runs that resume from a checkpoint
-are stopped: what they lose is the time to restore it.
+Preemption serves bursts of urgent work on a full pool. Only runs that can resume from
+a checkpoint are preempted, since they lose no more than the time to restore it.
 """
 
 from __future__ import annotations
@@ -14,25 +14,27 @@
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 
 NEARLY_DONE_PERCENT = 85
-"""Progress from which a run is left to end by itself."""
+"""Progress in percent from which a run is no longer preempted."""
 
 MIN_RUN_AGE_S = 0.2
-"""Age below which a run is not stopped: it would only pay for its restore."""
+"""Age in seconds below which a run is not preempted.
 
+A younger run would have spent its time on restoring its checkpoint only.
+"""
 
 MIN_EXTRAPOLATION_PERCENT = 10
-"""Progress from which a run's end is foretold."""
+"""Progress in percent from which the remaining time of a run is extrapolated."""
 
 FULL_PERCENT = 100
 
 
 class Preemptor:
-    """Finds room on workers, counting what ends there soon.
+    """Selects runs to preempt and tracks the room that is claimed on workers.
 
     Parameters
     ----------
     queue_of : callable
-        Returns a job's queue.
+        Returns the queue of a job, or None if it is not configured.
     now_s : float
         The time on the loop's clock.
     """
@@ -46,7 +48,7 @@
 
     @property
     def claimed_workers(self) -> set[str]:
-        """Workers on which room is being made."""
+        """The ids of the workers on which room is claimed."""
         return set(self._claimed)
 
     def claim_room(
@@ -54,11 +56,21 @@
     ) -> list[Run] | None:
         """Claim room for a task on a worker.
 
+        Parameters
+        ----------
+        worker : WorkerLedger
+            The worker.
+        needed : Resources
+            The room that the task takes.
+        priority : int
+            Priority of the task; only runs of later priorities are preempted.
+
         Returns
         -------
         victims : list of Run or None
-            Further runs to stop, none if enough ends already; None if stopping
-            everything that may be stopped would not make room.
+            The runs to preempt in addition to those already chosen, which may be no
+            runs; None if there would be no room even with every preemptible run
+            stopped.
         """
         worker_id = worker.entry.worker_id
         earlier_victims = self._victims.get(worker_id, [])
@@ -83,18 +95,19 @@
     def find_attainable_room(
         self, worker: WorkerLedger, priority: int | None, horizon_s: float
     ) -> Resources:
-        """Return the room that a worker can have within some time.
+        """Return the room that a worker can offer within some time.
 
-        It is worked out once a plan and not lowered by what the plan places.
+        The result is cached for the planning pass, so tasks that the pass places later
+        do not lower it.
 
         Parameters
         ----------
         worker : WorkerLedger
             The worker.
         priority : int or None
-            Whose sake runs may be stopped for; None to stop none.
+            Priority of the work that may preempt runs; None for no preemption.
         horizon_s : float
-            Seconds within which runs that end by themselves count as ended.
+            Time in seconds; runs that are expected to end within it count as ended.
         """
         key = (worker.entry.worker_id, priority, horizon_s)
         cached = self._attainable_room.get(key)
@@ -113,7 +126,7 @@
     def release_room(
         self, worker: WorkerLedger, needed: Resources, victims: list[Run]
     ) -> None:
-        """Give a claim up."""
+        """Release the room and the runs of a claim."""
         worker_id = worker.entry.worker_id
         self._claimed[worker_id] = self._claimed[worker_id] - needed
         for run in victims:
@@ -145,7 +158,13 @@
 
 
 def estimate_remaining_s(run: Run, now_s: float) -> float:
-    """Return how long a run will still take by its progress so far, in seconds."""
+    """Return the remaining time of a run, extrapolated from its progress.
+
+    Returns
+    -------
+    remaining_s : float
+        Seconds until the run ends; infinite if its progress does not tell.
+    """
     percent = run.progress_percent
     is_lasting = run.task.step.specification.is_lasting
     if is_lasting or percent < MIN_EXTRAPOLATION_PERCENT or run.confirmed_s is None:
@@ -155,7 +174,7 @@
 
 
 def _frees_scarce_resource(run: Run, needed: Resources, room: Resources) -> bool:
-    """Tell whether a run takes something that is short."""
+    """Tell whether stopping a run frees a resource of which the room is too small."""
     charged = run.task.step.specification.charged
     return (
         (needed.cpu_millis > room.cpu_millis and charged.cpu_millis > 0)
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides on every event of workers, advice and time."""
+"""Applies worker reports, advice answers and timeouts to the state of a cell."""
 
 from __future__ import annotations
 
@@ -27,26 +27,48 @@
 from fuchsiadale.decision.workflow.run_book import RunBook
 
 DRAIN_STOP_MARGIN_S = 0.8
-"""Seconds before a worker leaves at which runs are stopped: a stop and a look."""
+"""Seconds before a draining worker leaves at which its runs are stopped.
+
+The time suffices for one stop order and for the report that follows it.
+"""
 
 STALL_TIMEOUT_S = 3.0
-"""Seconds without progress after which a run is stopped: three checkpoints."""
+"""Seconds without progress after which a run is stopped: three checkpoint intervals."""
 
 STOP_SETTLE_S = 0.4
-"""Seconds after an acknowledged stop in which the run may still be listed."""
+"""Seconds for which a worker may still report a run whose stop it acknowledged."""
 
 TICKET_MARGIN_S = 0.15
-"""Validity that a ticket must have left when it is used: a start's way, slowed."""
+"""Seconds by which a ticket is treated as expired before it is.
+
+A ticket must still be valid when the start order reaches the worker over a slow
+network.
+"""
 
 UNKNOWN_RUN_GRACE_S = 2.0
-"""Seconds after which a run of no known job is stopped; a watch's silence."""
+"""Seconds after which runs of an unknown job are stopped.
+
+The watch on the table of jobs takes this long to detect a silent connection, so the
+job of such a run may be stored and not yet known.
+"""
 
 
 class Scheduler(RunBook):
-    """Decides where tasks run; it is told of events and gives orders."""
+    """Tracks the workers of a cell and decides which runs to stop or to slow down.
+
+    The owner of the cell reports each event to it and carries out the orders that the
+    methods return.
+    """
 
     def bound_predecessor_leases(self, until_s: float) -> None:
-        """Note when what the former owner started has surely ended."""
+        """Bound the leases of workers that have not answered to this owner.
+
+        Parameters
+        ----------
+        until_s : float
+            Time by which every run that a former owner started has ended, on the
+            loop's clock.
+        """
         for worker in self.workers.values():
             if not worker.is_adopted:
                 worker.lease_ends_s = min(worker.lease_ends_s, until_s)
@@ -54,7 +76,12 @@
     def update_registrations(
         self, entries: Iterable[WorkerEntry]
     ) -> list[WorkerLedger]:
-        """Take the list of registered workers over.
+        """Update the workers from the list of registrations.
+
+        Parameters
+        ----------
+        entries : iterable of WorkerEntry
+            The registrations of all workers; a worker that is missing is unlisted.
 
         Returns
         -------
@@ -87,14 +114,22 @@
         return added
 
     def mark_worker_unresponsive(self, worker_id: str) -> None:
-        """Note that a worker did not answer; nothing new is placed on it."""
+        """Mark a worker that did not answer, so that no new run is placed on it."""
         worker = self.workers.get(worker_id)
         if worker is not None and worker.failing_since_s is None:
             worker.failing_since_s = self.clock.now()
             self._decide("worker_silent", "", worker=worker_id)
 
     def extend_lease(self, worker_id: str, ends_s: float) -> None:
-        """Note when everything on a worker ends if no later order reaches it."""
+        """Extend a worker's lease, at whose end the worker ends all of its runs.
+
+        Parameters
+        ----------
+        worker_id : str
+            The worker; nothing happens if it is not known.
+        ends_s : float
+            When the lease ends if no later order renews it, on the loop's clock.
+        """
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.note_lease(ends_s)
@@ -102,7 +137,22 @@
     def process_report(
         self, worker_id: str, report: WorkerReport, sent_s: float
     ) -> list[Order]:
-        """Compare what a worker reports with what was placed on it."""
+        """Compare the runs that a worker reports with the runs placed on it.
+
+        Parameters
+        ----------
+        worker_id : str
+            The worker that answered.
+        report : WorkerReport
+            Its answer.
+        sent_s : float
+            When the worker was asked, on the loop's clock.
+
+        Returns
+        -------
+        orders : list of Order
+            The orders to carry out.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return []
@@ -112,8 +162,9 @@
             worker.failing_since_s = None
         if report.started_ms != worker.started_ms:
             if worker.started_ms:
-                # Runs of the former life are found absent below. A start may have
-                # reached the new life already, so nothing is dropped unseen.
+                # Runs from before the restart are missing from the report and end
+                # below. A start may already have reached the new incarnation, so no
+                # run ends here, before it is compared with the report.
                 self._decide("worker_restarted", "", worker=worker_id)
             worker.started_ms = report.started_ms
             worker.processed_end = 0
@@ -145,7 +196,10 @@
         return self.take_orders()
 
     def mark_worker_replaced(self, worker_id: str) -> None:
-        """Note that another worker answers at a worker's address."""
+        """Mark a worker whose address another worker now answers at.
+
+        All runs on the replaced worker end.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -156,7 +210,13 @@
         worker.is_adopted = False
 
     def remove_gone_workers(self) -> list[str]:
-        """Drop workers that are not registered, not answering and empty."""
+        """Remove workers that are unregistered, do not answer and have no runs.
+
+        Returns
+        -------
+        gone_ids : list of str
+            The ids of the removed workers.
+        """
         gone_ids = [
             worker_id
             for worker_id, worker in self.workers.items()
@@ -176,7 +236,18 @@
         tickets: dict[str, str] | None,
         valid_s: float,
     ) -> None:
-        """Take an answer of the advice service; None if there was none."""
+        """Store the answer to a call for advice.
+
+        Parameters
+        ----------
+        order : AskAdvice
+            The call, with the workers that it named.
+        tickets : dict of str to str or None
+            A ticket for each worker that may run the step, by worker; None if the
+            advice service did not answer.
+        valid_s : float
+            Seconds for which the tickets are valid.
+        """
         self.asking -= 1
         step = self.live_steps.get(order.step)
         if step is None:
@@ -200,7 +271,16 @@
         )
 
     def check_timeouts(self) -> list[Order]:
-        """Act on what the passing of time decides."""
+        """Stop or end the runs whose time limits have passed.
+
+        The runs of a silent worker end when its lease lapses. Runs are stopped on a
+        worker that is about to leave, and when they have stalled.
+
+        Returns
+        -------
+        orders : list of Order
+            The orders to carry out.
+        """
         now = self.clock.now()
         for worker in list(self.workers.values()):
             if worker.runs and worker.failing_since_s is not None:
@@ -249,7 +329,13 @@
     def _adopt_run(
         self, worker: WorkerLedger, row: RunningRow, now: float
     ) -> Run | None:
-        """Count a run that an earlier owner started."""
+        """Count a run that an earlier owner started.
+
+        Returns
+        -------
+        run : Run or None
+            The run; None if its job or its task is not known here.
+        """
         job = self.jobs.get(row.task.step.job_id)
         task = find_task(job, row.task) if job else None
         worker_id = worker.entry.worker_id
--- a/src/fuchsiadale/decision/workflow/triage.py
+++ b/src/fuchsiadale/decision/workflow/triage.py
@@ -1,10 +1,10 @@
-"""Chooses which waiting jobs to defer when a pool cannot serve all in time.
+"""Selects the waiting jobs to defer when a pool cannot serve all of them in time.
 
-Answers a burst, or a backlog after an outage, on queues of one urgency: serving the
-earliest objective first would then meet hardly any. Jobs are taken in the order of
-their objectives; whenever one would be late, the largest taken so far is deferred,
-which keeps the most jobs in time (Moore, "An n job, one machine sequencing algorithm
-for minimizing the number of late jobs", Management Science, 1968).
+On a burst, or a backlog after an outage, serving the job that is due first would meet
+the objectives of hardly any job of a priority. Instead, jobs are accepted in the order
+of their due times, and whenever one would be late, the largest job accepted so far is
+deferred. This keeps the most jobs in time (Moore, "An n job, one machine sequencing
+algorithm for minimizing the number of late jobs", Management Science, 1968).
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 @frozen
 class Demand:
-    """What a waiting job still needs.
+    """Remaining work and due time of a waiting job.
 
     Attributes
     ----------
     job_id : str
-        The job.
+        Id of the job.
     work_s : float
-        Seconds for which its remaining work would fill the whole pool.
+        Time for which its remaining work would fill the whole pool, in seconds.
     chain_s : float
-        Its longest chain of remaining work, in seconds.
+        Length of the critical path of its remaining work, in seconds.
     due_s : float
-        When its objective lapses, on the loop's clock.
+        When it has to end to meet its objective, on the loop's clock.
     """
 
     job_id: str
@@ -38,7 +38,7 @@
 
 
 def select_deferred_jobs(demands: Iterable[Demand], now_s: float) -> set[str]:
-    """Return the jobs to serve after all others so that most are in time."""
+    """Return the ids of the jobs to serve last, so that the most jobs are in time."""
     accepted: list[tuple[float, str]] = []
     deferred: set[str] = set()
     total_work_s = 0.0
