--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -31,22 +31,13 @@
 """Maximum number of steps per pool that reserve workers, as reserved room is idle."""
 
 LARGE_TASK_SHARE = 0.5
-"""Share of a worker's capacity from which a task counts as large.
-
-A large task finds room only on a worker that is reserved for it.
-"""
+"""Share of a worker from which a task is large and needs a worker reserved for it."""
 
 PREEMPTION_RESERVATION = -1
-"""Priority of the reservation of a worker on which runs are being preempted.
-
-It comes before the priority of every queue, so that nothing else is placed there.
-"""
+"""Priority for which workers with preempted runs are reserved, above every queue's."""
 
 EXPENSIVE_ADVICE_S = 0.1
-"""Duration in seconds from which a call for advice counts as expensive.
-
-Expensive calls may not use the last concurrent calls.
-"""
+"""Seconds from which a call for advice is expensive and leaves calls to cheap ones."""
 
 CALLS_KEPT_FOR_CHEAP_ADVICE = 2
 """Concurrent calls for advice kept for cheap ones, which urgent steps wait for."""
@@ -105,11 +96,7 @@
         return self.reservations.get(worker.entry.worker_id, priority) < priority
 
     def admit_ticket_renewal(self, waiting: WaitingStep) -> bool:
-        """Tell whether a step may renew its tickets while it waits for room.
-
-        Only the first steps of each pool may; each call counts one step. Steps of
-        infeasible jobs and of jobs beyond a submission rate never may.
-        """
+        """Count a step and tell whether it is among the first feasible of its pool."""
         if waiting.is_infeasible or waiting.step.job.is_excess:
             return False
         pool = waiting.queue.pool
@@ -370,13 +357,7 @@
     needed: Resources,
     priority: int,
 ) -> tuple[WorkerLedger, list[Run]] | None:
-    """Claim room for a task on the worker where this preempts the fewest runs.
-
-    Returns
-    -------
-    claim : tuple of WorkerLedger and list of Run, or None
-        The worker and the runs to preempt there; None if no worker can make room.
-    """
+    """Claim room on the worker where the fewest runs have to be preempted for it."""
     best: tuple[WorkerLedger, list[Run]] | None = None
     for worker in workers:
         victims = preemptor.claim_room(worker, needed, priority)
@@ -431,8 +412,5 @@
 
 
 def _gang_checkpoint(tasks: list[Task]) -> str:
-    """Return the checkpoint that every task of a gang resumes from.
-
-    It is the first that a task has, or the empty string if none has one.
-    """
+    """Return the checkpoint that all tasks of a gang resume from; empty if none."""
     return next((task.checkpoint for task in tasks if task.checkpoint), "")
--- a/tests/load_jobs.py
+++ b/tests/load_jobs.py
@@ -1,4 +1,4 @@
-"""Draws jobs of the users' kinds, with what they really take."""
+"""Generates random jobs of the users' kinds, with the true durations of their tasks."""
 
 from __future__ import annotations
 
@@ -20,7 +20,25 @@
 
 @frozen
 class SimulatedJob:
-    """A job as it really is."""
+    """A job with its true properties, which the scheduler does not know.
+
+    Attributes
+    ----------
+    kind : JobKind
+        The kind of the job.
+    record : JobRecord
+        The job as the scheduler gets it.
+    submitted_s : float
+        When it was submitted, on the simulation's clock.
+    task_work_s : dict of TaskName to float
+        True duration of each task, in seconds.
+    poisoned_tasks : frozenset of TaskName
+        Tasks of which every run fails.
+    objective_s : float
+        Bound on the job's duration, in seconds.
+    value : float
+        Value of the job if it ends within its objective.
+    """
 
     kind: JobKind
     record: JobRecord
@@ -32,14 +50,14 @@
 
 
 class JobGenerator:
-    """Draws jobs.
+    """Generates random jobs.
 
     Parameters
     ----------
     pools : list of Pool
-        The workers, whose room decides how many waves a wide step counts.
+        The pools, whose size decides in how many waves a wide step runs.
     random : Random
-        Of every draw.
+        The source of all random draws.
     """
 
     def __init__(self, pools: list[Pool], random: Random) -> None:
@@ -47,23 +65,23 @@
         self._random = random
 
     def generate(self, kind: JobKind) -> SimulatedJob:
-        """Return a job of a kind, as yet not sent."""
-        draw = self._random
-        job_id = f"{draw.getrandbits(64):016x}"
+        """Return a job of a kind that is not submitted yet."""
+        rng = self._random
+        job_id = f"{rng.getrandbits(64):016x}"
         steps = []
         task_work_s: dict[TaskName, float] = {}
         chain_s = 0.0
         core_seconds = 0.0
-        step_count = max(1, round(draw.lognormvariate(math.log(kind.usual_steps), 0.4)))
+        step_count = max(1, round(rng.lognormvariate(math.log(kind.usual_steps), 0.4)))
         for index in range(step_count):
             width = max(
-                1, round(draw.lognormvariate(math.log(kind.usual_width) - 0.2, 0.7))
+                1, round(rng.lognormvariate(math.log(kind.usual_width) - 0.2, 0.7))
             )
-            base_s = kind.usual_task_s * draw.lognormvariate(-0.12, 0.5)
+            base_s = kind.usual_task_s * rng.lognormvariate(-0.12, 0.5)
             base_s = min(max(base_s, 0.05), 2.5 * kind.usual_task_s)
-            error = draw.gauss(-kind.estimate_bias, kind.estimate_error)
+            error = rng.gauss(-kind.estimate_bias, kind.estimate_error)
             request = Resources(
-                kind.cpu_millis, kind.memory_mb, draw.choice(kind.accelerators)
+                kind.cpu_millis, kind.memory_mb, rng.choice(kind.accelerators)
             )
             steps.append(
                 StepSpecification(
@@ -71,21 +89,21 @@
                     request,
                     base_s * math.exp(error),
                     (index - 1,) if index else (),
-                    is_checkpointing=draw.random() < kind.checkpointing_share,
+                    is_checkpointing=rng.random() < kind.checkpointing_share,
                 )
             )
             name = StepName(job_id, 0, index)
             for number in range(steps[-1].count):
-                task_s = base_s * math.exp(draw.gauss(0.0, kind.task_spread))
+                task_s = base_s * math.exp(rng.gauss(0.0, kind.task_spread))
                 task_work_s[TaskName(name, number)] = task_s
                 core_seconds += task_s * request.cpu_millis / 1000
             longest_s = max(
                 task_work_s[TaskName(name, n)] for n in range(steps[-1].count)
             )
             chain_s += longest_s * self._count_waves(kind, steps[-1])
-        is_poisoned = draw.random() < kind.poisoned_share
+        is_poisoned = rng.random() < kind.poisoned_share
         poisoned_tasks = frozenset(
-            [draw.choice(list(task_work_s))] if is_poisoned else []
+            [rng.choice(list(task_work_s))] if is_poisoned else []
         )
         usual_core_seconds = (
             kind.usual_steps
--- a/tests/load_kinds.py
+++ b/tests/load_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of jobs and the workers of the users' sheets, as they are played."""
+"""Kinds of jobs and pools of workers, from the users' descriptions of their load."""
 
 from __future__ import annotations
 
@@ -10,7 +10,43 @@
 
 @frozen
 class JobKind:
-    """One kind of job, as the sheets tell it."""
+    """Distribution of the jobs of one kind.
+
+    Attributes
+    ----------
+    queue : Queue
+        The queue that its jobs enter.
+    arrivals_per_s : float
+        Mean rate of arrivals, in jobs per second.
+    usual_value : float
+        Value of a job of usual size.
+    usual_task_s : float
+        Usual duration of a task, in seconds.
+    usual_width : float
+        Usual number of tasks of a step.
+    cpu_millis : int
+        Processor time of a task, in thousandths of a core.
+    memory_mb : int
+        Memory of a task, in MiB.
+    accelerators : tuple of int
+        Numbers of accelerators, of which each step draws one for its tasks.
+    usual_steps : float
+        Usual number of steps, which run in sequence.
+    estimate_error : float
+        Standard deviation of the logarithm of estimate over duration.
+    estimate_bias : float
+        By how much estimates are too low on average, as a logarithm.
+    task_spread : float
+        Standard deviation of the logarithm of durations within a step.
+    failure_share : float
+        Share of runs that fail.
+    poisoned_share : float
+        Share of jobs with a task of which every run fails.
+    granted_share : float
+        Share of the pool's workers that advice grants to a step.
+    checkpointing_share : float
+        Share of steps whose tasks resume from checkpoints.
+    """
 
     queue: Queue
     arrivals_per_s: float
@@ -32,7 +68,7 @@
 
 @frozen
 class Pool:
-    """Workers of one kind."""
+    """Equal workers that run the tasks of the same queues."""
 
     name: str
     worker_count: int
@@ -40,7 +76,7 @@
 
 
 def make_guild_kinds() -> list[JobKind]:
-    """Return the Guild's kinds of jobs that end, as the sheets tell them."""
+    """Return the Guild's kinds of jobs, except those that run until cancelled."""
     preparation, imaging = "preparation", "imaging"
     return [
         JobKind(
@@ -142,7 +178,7 @@
 
 
 def make_guild_pools() -> list[Pool]:
-    """Return the Guild's workers."""
+    """Return the Guild's pools of workers."""
     return [
         Pool("preparation", 18, Resources(16_000, 65_536, 0)),
         Pool("imaging", 7, Resources(64_000, 131_072, 8)),
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -1,8 +1,8 @@
-"""A model of the users' sites: seeded loads, workers and advice, without a network.
+"""Simulates the users' sites with seeded loads, workers and advice, without a network.
 
-Rates, widths, sizes and errors of estimates follow the sheets of the Guild's site as
-it is played. What a job is worth follows the users' rules: all of its worth within its
-objective, a fifth within three times that, nothing later.
+Rates, widths, sizes and errors of estimates follow the Guild's description of its load.
+The value of a job follows the users' rules: a job earns its full value within its
+objective, a fifth of it within three times the objective, and nothing later.
 """
 
 from __future__ import annotations
@@ -41,25 +41,28 @@
 from tests.load_kinds import JobKind, Pool
 
 START_DELAY_S = 0.02
-"""Seconds from a placement until the worker has begun: the record and the call."""
+"""Seconds to deliver an order to a worker, including the record of a start."""
 
 REPORT_INTERVAL_S = 0.8
-"""Seconds between two reports of a worker on which nothing ends."""
+"""Mean number of seconds between the reports of a worker on which no run ends."""
 
 TICK_INTERVAL_S = 0.2
-"""Seconds between two looks at what only time decides."""
+"""Seconds between two checks of timeouts."""
 
 PLAN_DELAY_S = 0.005
-"""Seconds from an event until the plan that answers it."""
+"""Seconds from an event until the planning pass that takes it into account."""
 
 CHECKPOINT_INTERVAL_S = 1.0
-"""Seconds of work between two checkpoints."""
+"""Seconds of work between two checkpoints of a task."""
 
 RESTORE_DELAY_S = 0.6
-"""Seconds to resume from a checkpoint."""
+"""Seconds that a run takes to resume from a checkpoint."""
 
 LATE_FACTOR = 3.0
+"""Multiple of the objective within which a late job still earns a part of its value."""
+
 LATE_VALUE_SHARE = 0.2
+"""Share of its value that a late job earns."""
 
 
 @define(eq=False)
@@ -68,13 +71,13 @@
     run: int
     work_s: float
     begins_s: float
-    done_before_s: float
+    restored_work_s: float
     fails: bool
     is_stopped: bool = False
 
-    def worked_s(self, now_s: float) -> float:
-        """Return the work done, in seconds of a task's whole work."""
-        return min(self.work_s, self.done_before_s + max(0.0, now_s - self.begins_s))
+    def done_work_s(self, now_s: float) -> float:
+        """Return how much of the task's work is done, in seconds."""
+        return min(self.work_s, self.restored_work_s + max(0.0, now_s - self.begins_s))
 
 
 @define(eq=False)
@@ -87,7 +90,21 @@
 
 @define
 class LoadOutcome:
-    """What callers of one kind got."""
+    """Results of the jobs of one queue.
+
+    Attributes
+    ----------
+    jobs : int
+        Number of submitted jobs.
+    in_time : int
+        Number of jobs that ended within their objective.
+    late : int
+        Number of jobs that ended later and still earned a part of their value.
+    total_value : float
+        Value of all submitted jobs.
+    earned_value : float
+        Value that the jobs earned.
+    """
 
     jobs: int = 0
     in_time: int = 0
@@ -97,25 +114,26 @@
 
     @property
     def earned_share(self) -> float:
-        """Worth earned over worth owed."""
+        """Earned value as a share of the total value; 1 if no value was submitted."""
         return self.earned_value / self.total_value if self.total_value else 1.0
 
 
 class LoadSimulation:
-    """Plays kinds of jobs against one scheduler.
+    """Simulates a load of jobs on one scheduler.
 
     Parameters
     ----------
     kinds : list of Kind
-        What is submitted.
+        The kinds of jobs that are submitted.
     pools : list of Pool
-        The workers.
+        The pools of workers.
     seed : int
-        Of every random draw.
-    lanes : int
-        Calls for advice that can be under way at once.
-    surge : callable
-        Returns a factor of a kind's rate at a time, in seconds from the start.
+        Seed of all random draws.
+    max_advice_calls : int
+        Maximum number of concurrent calls for advice.
+    rate_factor : callable
+        Returns the factor on a kind's rate of arrivals at a time, in seconds from the
+        start.
     """
 
     def __init__(
@@ -169,7 +187,20 @@
             self._send_report(worker_id)
 
     def simulate(self, seconds: float, drain_s: float = 40.0) -> dict[str, LoadOutcome]:
-        """Submit for some seconds and return what each queue's callers got."""
+        """Simulate a period of submissions and the time to finish the jobs.
+
+        Parameters
+        ----------
+        seconds : float
+            Length of the period in which jobs are submitted, in seconds.
+        drain_s : float
+            Further time that is simulated, in seconds.
+
+        Returns
+        -------
+        outcomes : dict of str to LoadOutcome
+            The results, by queue.
+        """
         start_s = self.clock.now()
         for kind in self.kinds:
             at_s = 0.0
@@ -241,7 +272,7 @@
                 run.task,
                 run.run,
                 self._checkpoint(run, now_s),
-                int(99 * run.worked_s(now_s) / run.work_s),
+                int(99 * run.done_work_s(now_s) / run.work_s),
                 1000.0,
             )
             for run in worker.runs.values()
@@ -314,7 +345,7 @@
         if kind is EndKind.STOPPED:
             checkpoint = self._checkpoint(run, self.clock.now(), is_stop=True)
             if not checkpoint:
-                self.wasted_s += run.worked_s(self.clock.now())
+                self.wasted_s += run.done_work_s(self.clock.now())
         worker.last_end += 1
         row = EndedRow(worker.last_end, run.task, run.run, kind, checkpoint)
         worker.ends.append(row)
@@ -327,8 +358,8 @@
         step = job.record.specification.steps[run.task.step.step]
         if not step.is_checkpointing:
             return ""
-        worked_s = run.worked_s(now_s)
-        saved_s = worked_s if is_stop else math.floor(worked_s / CHECKPOINT_INTERVAL_S)
+        done_s = run.done_work_s(now_s)
+        saved_s = done_s if is_stop else math.floor(done_s / CHECKPOINT_INTERVAL_S)
         return repr(saved_s) if saved_s > 0.0 else ""
 
     def _answer_advice(self, order: AskAdvice) -> None:
@@ -350,7 +381,7 @@
         self._schedule_after(order.cost_s if is_served else 0.0, answer)
 
     def _may_run(self, step: StepName, worker_id: str) -> bool:
-        """Tell whether a step may run on a worker; some worker may always."""
+        """Tell whether a step may run on a worker; it always may on at least one."""
         kind = self._kind_of(step)
         ids = [
             item
--- a/tests/test_workflow_forecast.py
+++ b/tests/test_workflow_forecast.py
@@ -1,4 +1,4 @@
-"""How long work is expected to take, and when objectives lapse."""
+"""Tests of predicted durations and of the due times of jobs."""
 
 from __future__ import annotations
 
@@ -39,19 +39,19 @@
     return cell
 
 
-def test_estimate_counts_until_something_is_known():
+def test_estimate_is_used_before_any_run_is_observed():
     assert DurationModel().predict_s("queue", 2.0) == 2.0
 
 
 @pytest.mark.parametrize("estimated_s", [0.5, 1.0, 4.0])
-def test_estimates_that_say_nothing_give_way_to_what_work_takes(estimated_s: float):
+def test_uninformative_estimates_are_replaced_by_observed_durations(estimated_s: float):
     durations = DurationModel()
     for number in range(200):
         durations.observe("queue", 0.25 * 2.0 ** (number % 5), 4.0, 1.0)
     assert durations.predict_s("queue", estimated_s) == pytest.approx(4.0, rel=0.25)
 
 
-def test_estimates_that_are_too_low_by_a_factor_are_corrected():
+def test_estimates_too_low_by_a_constant_factor_are_corrected_per_queue():
     durations = DurationModel()
     for number in range(200):
         estimated_s = 0.25 * 2.0 ** (number % 5)
@@ -60,14 +60,14 @@
     assert durations.predict_s("other", 2.0) == 2.0
 
 
-def test_change_is_learnt_though_much_was_seen_before():
+def test_prediction_adapts_to_a_change_after_many_observations():
     durations = DurationModel()
     for ran_s in [1.0] * 500 + [3.0] * 150:
         durations.observe("queue", 1.0, ran_s, 1.0)
     assert durations.predict_s("queue", 1.0) == pytest.approx(3.0, rel=0.25)
 
 
-def test_objective_of_a_narrow_job_is_its_chain_stretched():
+def test_objective_of_a_narrow_job_is_its_critical_path_stretched_plus_slack():
     record = make_record(0, make_step(1), make_step(2, after=(0,), estimated_s=2.0))
     assert due_in_s(make_cell(), record) == pytest.approx(2.0 * 3.0 + 1.0)
 
@@ -78,18 +78,18 @@
     )
 
 
-def test_step_wider_than_its_workspace_may_run_counts_in_waves():
+def test_step_wider_than_its_workspace_limit_counts_in_waves():
     cell = make_cell(Resources(1500, 1 << 30, 1 << 30))
     assert due_in_s(cell, make_record(0, make_step(2))) == pytest.approx(2 * 2.0 + 1.0)
 
 
-def test_objective_of_an_occurrence_counts_from_when_it_is_due():
+def test_objective_of_an_occurrence_counts_from_its_scheduled_time():
     specification = JobSpecification("text", (make_step(),), Schedule(5.0, 3.0, 4))
     record = JobRecord("0" * 16, QUEUE, WORKSPACE, 0.0, specification)
     assert due_in_s(make_cell(), record, 2) == pytest.approx(11.0 + 2.0 + 1.0)
 
 
-def test_ended_tasks_of_a_step_tell_how_long_its_others_take():
+def test_duration_of_a_step_is_predicted_from_its_ended_tasks():
     cell = make_cell()
     cell.scheduler.accept(make_record(0, make_step(2, 4000)), 0.0)
     cell.run_plan()
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -1,4 +1,4 @@
-"""Plays loads against the scheduler and checks what callers get."""
+"""Simulates loads on the scheduler and checks which jobs meet their objectives."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def simulate(
     cell: Cell, arrivals: list[tuple[float, object]], until_s: float
 ) -> set[str]:
-    """Play arrivals and return the jobs that met their objective."""
+    """Simulate arrivals and return the ids of the jobs that met their objective."""
     start_s = cell.clock.now()
     end_queue: list[tuple[float, int, str, object, int]] = []
     started = 0
@@ -64,7 +64,7 @@
 
 
 def make_burst(count: int) -> list[tuple[float, object]]:
-    """Return a burst of small jobs among a few large ones, all within a second."""
+    """Return arrivals of small and some large jobs, all within a second."""
     jobs = []
     for number in range(count):
         width = 16 if number % 4 == 0 else 2
@@ -80,18 +80,21 @@
     return cell
 
 
-def test_burst_beyond_the_pool_keeps_more_jobs_in_time(
+def test_deferral_keeps_more_jobs_of_a_burst_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """The load: 40 jobs in a second, four times what the pool can end in time."""
-    with_triage = simulate(make_loaded_cell(), make_burst(40), 8.0)
+    """Submit 40 jobs in a second, four times what the pool can complete in time."""
+    with_deferral = simulate(make_loaded_cell(), make_burst(40), 8.0)
     monkeypatch.setattr(ordering, "select_deferred_jobs", lambda demands, now_s: set())
-    without = simulate(make_loaded_cell(), make_burst(40), 8.0)
-    assert len(with_triage) > len(without)
+    without_deferral = simulate(make_loaded_cell(), make_burst(40), 8.0)
+    assert len(with_deferral) > len(without_deferral)
 
 
-def test_backlog_after_an_outage_is_not_served_too_late_one_by_one():
-    """The load: 3 s of arrivals at the pool's rate that come at once."""
+def test_backlog_after_an_outage_still_meets_8_of_12_objectives():
+    """Submit the arrivals of 3 s at the rate of the pool all at once.
+
+    Serving the jobs strictly by due time would make nearly all of them late.
+    """
     backlog = [
         (0.0, make_record(number, make_step(4, 1000, estimated_s=1.0)))
         for number in range(12)
@@ -99,7 +102,7 @@
     assert len(simulate(make_loaded_cell(), backlog, 10.0)) == 8
 
 
-def test_nothing_is_deferred_when_all_can_be_met():
+def test_no_job_is_deferred_when_all_objectives_can_be_met():
     demands = [Demand(str(index), 0.1, 1.0, 2.0 + index) for index in range(10)]
     assert select_deferred_jobs(demands, 0.0) == set()
 
@@ -113,7 +116,7 @@
     assert select_deferred_jobs(demands, 0.0) == {"large"}
 
 
-def test_plan_does_not_try_every_step_of_a_long_queue():
+def test_plan_stops_trying_steps_of_a_long_queue_after_the_limit():
     cell = make_loaded_cell()
     for number in range(200):
         cell.scheduler.accept(make_record(number, make_step(8, 2000)), 0.0)
@@ -130,12 +133,12 @@
 
 
 def simulate_imaging_pool() -> float:
-    """Play the Guild's imaging pool and return the share of worth that was earned."""
+    """Simulate the Guild's imaging pool and return the earned share of the value."""
     total = LoadOutcome()
     kinds = [kind for kind in make_guild_kinds() if kind.queue.pool == "imaging"]
     for seed in SIMULATION_SEEDS:
-        world = LoadSimulation(kinds, make_guild_pools()[1:], seed)
-        for outcome in world.simulate(SIMULATED_S).values():
+        simulation = LoadSimulation(kinds, make_guild_pools()[1:], seed)
+        for outcome in simulation.simulate(SIMULATED_S).values():
             total.total_value += outcome.total_value
             total.earned_value += outcome.earned_value
     return total.earned_share
@@ -148,12 +151,12 @@
         (planning, "MAX_RENEWING_STEPS", 0),
         (forecast, "WAVE_SHARE", 100.0),
     ],
-    ids=["learnt durations", "early tickets", "waves"],
+    ids=["learned durations", "early tickets", "waves"],
 )
-def test_full_pool_earns_more_with(
+def test_full_pool_earns_more_value_with_each_feature(
     monkeypatch: pytest.MonkeyPatch, target: object, name: str, replacement: object
 ):
-    """The load: the Guild's imaging pool, full, with estimates that say nothing."""
-    present = simulate_imaging_pool()
+    """Fill the Guild's imaging pool with jobs whose estimates are far off."""
+    earned_share = simulate_imaging_pool()
     monkeypatch.setattr(target, name, replacement)
-    assert present > simulate_imaging_pool()
+    assert earned_share > simulate_imaging_pool()
--- a/tests/test_workflow_planning.py
+++ b/tests/test_workflow_planning.py
@@ -1,4 +1,4 @@
-"""What is started, stopped and asked for, by queues, limits, tickets and room."""
+"""Tests of the planner: starts, preemptions and calls for advice."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert job.shown_state is JobState.COMPLETED
 
 
-def test_urgent_work_stops_checkpointing_work_which_resumes_later():
+def test_urgent_work_preempts_checkpointing_work_which_resumes_later():
     cell = make_cell(URGENT, BATCH)
     step = make_step(4, is_checkpointing=True)
     cell.scheduler.accept(make_record(0, step, queue="batch"), 0.0)
@@ -73,7 +73,7 @@
     assert [order.run for order in cell.starts[-2:]] == [2, 2]
 
 
-def test_room_that_is_being_made_is_not_made_twice_and_not_given_away():
+def test_preemption_in_progress_is_not_repeated_and_its_room_not_reused():
     cell = make_cell(URGENT, BATCH)
     step = make_step(4, is_checkpointing=True)
     cell.scheduler.accept(make_record(0, step, queue="batch"), 0.0)
@@ -88,9 +88,9 @@
 @pytest.mark.parametrize(
     "changes",
     [{}, {"is_checkpointing": True, "is_lasting": True}],
-    ids=["nothing saved", "lasting"],
+    ids=["no checkpoints", "lasting"],
 )
-def test_work_that_would_lose_something_is_not_stopped(changes: dict[str, object]):
+def test_work_without_checkpoints_or_end_is_not_preempted(changes: dict[str, object]):
     cell = make_cell(URGENT, BATCH)
     cell.scheduler.accept(make_record(0, make_step(4, **changes), queue="batch"), 0.0)
     cell.run_plan()
@@ -100,7 +100,7 @@
     assert cell.stops == []
 
 
-def test_job_that_can_meet_its_objective_comes_before_one_that_cannot():
+def test_feasible_job_is_served_before_an_infeasible_one():
     cell = make_cell(make_queue(slack_s=0.0, stretch=2.0))
     cell.scheduler.accept(make_record(0, make_step(4, estimated_s=1.0)), 0.0)
     cell.clock.advance(7.5)
@@ -109,7 +109,7 @@
     assert {order.task.step.job_id for order in cell.starts} == {make_record(1).job_id}
 
 
-def test_gang_starts_whole_with_one_number_and_ends_as_one():
+def test_gang_starts_all_tasks_with_one_run_number_and_ends_as_a_whole():
     cell = make_cell(workers=2)
     gang = make_step(3, 2000, is_gang=True)
     cell.scheduler.accept(make_record(0, gang), 0.0)
@@ -122,7 +122,7 @@
     assert job.state is JobState.COMPLETED
 
 
-def test_gang_whose_member_ended_is_stopped_and_starts_again_with_a_higher_number():
+def test_gang_with_a_failed_member_restarts_whole_with_a_higher_run_number():
     cell = make_cell(workers=2)
     cell.scheduler.accept(make_record(0, make_step(3, 2000, is_gang=True)), 0.0)
     cell.run_plan()
@@ -137,7 +137,7 @@
     assert [order.run for order in cell.starts[3:]] == [2, 2, 2]
 
 
-def test_gang_claims_room_for_all_members_or_stops_nothing():
+def test_gang_preempts_nothing_when_not_all_its_tasks_would_fit():
     cell = make_cell(URGENT, BATCH, workers=2)
     kept = make_step(4, 1000)
     saved = make_step(4, 1000, is_checkpointing=True)
@@ -159,7 +159,7 @@
     assert len(cell.starts) == 5
 
 
-def test_tasks_of_a_step_spread_as_far_as_it_asks():
+def test_step_with_max_per_worker_spreads_over_that_many_workers():
     cell = make_cell(workers=3)
     cell.scheduler.accept(make_record(0, make_step(6, 100, max_per_worker=1)), 0.0)
     cell.run_plan()
@@ -167,7 +167,7 @@
     assert len(cell.starts) == 3
 
 
-def test_task_that_failed_is_tried_elsewhere_and_its_job_fails_after_the_last_try():
+def test_failed_task_retries_on_another_worker_and_fails_its_job_at_max_attempts():
     cell = make_cell(make_queue(max_attempts=2), workers=2)
     cell.scheduler.accept(make_record(), 0.0)
     cell.run_plan()
@@ -180,7 +180,7 @@
     assert cell.scheduler.jobs[make_record().job_id].state is JobState.FAILED
 
 
-def test_only_workers_with_a_valid_ticket_are_used():
+def test_tasks_start_only_on_workers_with_a_valid_ticket():
     cell = make_cell(make_queue(advice=ADVICE), workers=3)
     cell.scheduler.accept(make_record(0, make_step(6, 2000)), 0.0)
     cell.run_plan()
@@ -196,10 +196,10 @@
     assert [order.worker_ids for order in cell.asked] == [("worker-1",)]
 
 
-def test_dear_calls_for_advice_leave_lanes_for_cheap_ones():
-    dear = make_queue("dear", advice=ADVICE.__class__(0.5, 0.001, 2.0), priority=1)
+def test_expensive_advice_calls_leave_calls_for_cheap_ones():
+    expensive = make_queue("dear", advice=ADVICE.__class__(0.5, 0.001, 2.0), priority=1)
     cheap = make_queue("cheap", advice=ADVICE, priority=0)
-    cell = make_cell(dear, cheap, workers=3)
+    cell = make_cell(expensive, cheap, workers=3)
     for number in range(4):
         cell.scheduler.accept(make_record(number, queue="dear"), 0.0)
     cell.run_plan()
@@ -222,7 +222,7 @@
     assert cell.scheduler.jobs[make_record().job_id].state is JobState.CANCELLED
 
 
-def test_lasting_task_is_started_again_however_it_ends():
+def test_lasting_task_restarts_after_every_kind_of_end():
     cell = make_cell(make_queue(max_attempts=1))
     cell.scheduler.accept(make_record(0, make_step(1, is_lasting=True)), 0.0)
     for kind in (EndKind.FAILED, EndKind.DONE, EndKind.STOPPED):
@@ -232,7 +232,7 @@
     assert len(cell.starts) == 4
 
 
-def test_work_that_cannot_be_stopped_leaves_room_for_urgent_work():
+def test_non_preemptible_work_leaves_headroom_for_urgent_work():
     cell = make_cell(URGENT, BATCH, workers=2)
     cell.scheduler.accept(make_record(0, make_step(8, 1000), queue="batch"), 0.0)
     cell.run_plan()
@@ -242,14 +242,14 @@
     assert len(cell.starts) == 8
 
 
-def test_task_that_needs_a_whole_worker_gets_an_empty_one():
+def test_task_that_needs_a_whole_worker_starts_despite_the_headroom():
     cell = make_cell(URGENT, BATCH, workers=1)
     cell.scheduler.accept(make_record(0, make_step(1, 4000), queue="batch"), 0.0)
     cell.run_plan()
     assert len(cell.starts) == 1
 
 
-def test_worker_that_was_slow_is_used_last():
+def test_slow_worker_is_used_last():
     cell = make_cell(workers=2)
     for _ in range(10):
         cell.scheduler.workers["worker-0"].note_duration(3.0, 1.0)
@@ -258,7 +258,7 @@
     assert [order.worker_id for order in cell.starts] == ["worker-1"] * 4 + ["worker-0"]
 
 
-def test_task_that_needs_a_whole_worker_is_not_starved_by_small_ones():
+def test_task_that_needs_a_whole_worker_is_not_starved_by_small_tasks():
     cell = make_cell(make_queue("large", priority=1, stretch=20.0), BATCH, workers=1)
     cell.scheduler.accept(make_record(0, make_step(4, 900), queue="batch"), 0.0)
     cell.run_plan()
@@ -274,7 +274,7 @@
     ]
 
 
-def test_tickets_of_the_first_steps_are_there_before_room_is():
+def test_first_waiting_steps_get_and_renew_tickets_before_there_is_room():
     queue = make_queue(advice=ADVICE.__class__(0.5, 0.0, 2.0), stretch=30.0)
     cell = make_cell(queue)
     cell.scheduler.accept(make_record(0, make_step(1, 4000)), 0.0)
@@ -298,7 +298,7 @@
 
 
 def request_all_tickets(cell: Cell) -> list[str]:
-    """Plan and grant until nothing is asked; return the jobs that were asked for."""
+    """Plan and grant all requests until none are left; return the ids of their jobs."""
     jobs: list[str] = []
     while True:
         cell.run_plan()
@@ -308,7 +308,7 @@
         cell.answer_advice()
 
 
-def test_calls_for_tickets_ahead_of_room_leave_lanes_to_first_calls():
+def test_requests_for_tickets_before_there_is_room_use_half_the_advice_calls():
     queue = make_queue(advice=ADVICE.__class__(0.5, 0.0, 2.0), stretch=30.0)
     cell = make_cell(queue)
     cell.scheduler.accept(make_record(0, make_step(1, 4000)), 0.0)
@@ -321,7 +321,7 @@
     assert len(cell.asked) == LANES // 2
 
 
-def test_worker_held_for_a_large_task_is_open_to_work_as_urgent():
+def test_worker_reserved_for_a_large_task_still_takes_equally_urgent_tasks():
     cell = make_cell(make_queue("large", priority=1, stretch=20.0), workers=1)
     cell.scheduler.accept(make_record(0, make_step(1, 2500), queue="large"), 0.0)
     cell.run_plan()
