--- a/src/fuchsiadale/decision/workflow/durations.py
+++ b/src/fuchsiadale/decision/workflow/durations.py
@@ -32,15 +32,15 @@
 
     Attributes
     ----------
-    weight : float
+    total_weight : float
         Total weight of the observed tasks; the tasks of one step weigh 1 together.
-    estimate : float
+    mean_estimate : float
         Mean of the logarithm of the estimates.
-    ratio : float
+    mean_ratio : float
         Mean of the logarithm of the ratio between duration and estimate.
-    spread : float
+    squared_deviations : float
         Sum of the squared deviations of the logarithm of the estimates.
-    product : float
+    deviation_products : float
         Sum of the products of the deviations of both logarithms.
     """
 
@@ -66,10 +66,10 @@
             Weight of the task.
         """
         if self.total_weight > MAX_WEIGHT:
-            kept = MAX_WEIGHT / self.total_weight
-            self.total_weight *= kept
-            self.squared_deviations *= kept
-            self.deviation_products *= kept
+            decay = MAX_WEIGHT / self.total_weight
+            self.total_weight *= decay
+            self.squared_deviations *= decay
+            self.deviation_products *= decay
         self.total_weight += weight
         share = weight / self.total_weight
         deviation = estimate - self.mean_estimate
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -21,10 +21,7 @@
 from fuchsiadale.decision.workflow.placement import count_fitting_tasks
 
 WAVE_SHARE = 0.25
-"""Share of a pool that one wave of a step may take.
-
-The contract with the users sets it.
-"""
+"""Share of a pool that one wave of a step may take, by the contract with the users."""
 
 
 @frozen
@@ -54,7 +51,7 @@
 
     Parameters
     ----------
-    durations : Durations
+    durations : DurationModel
         The model that predicts the durations of tasks.
     workers : dict of str to list of WorkerLedger
         The workers, by pool.
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -17,9 +17,9 @@
 from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 
 LEAST_DURATION_SHARE = 0.7
-"""Share of an expected duration that work takes at the least.
+"""Share of an expected duration that work is sure to take.
 
-The estimates of callers are off by half on average.
+Callers' estimates are off by half on average.
 """
 
 
@@ -35,7 +35,7 @@
         The queue of its job.
     due_s : float
         When its job has to end to meet its objective, on the loop's clock.
-    is_hopeless : bool
+    is_infeasible : bool
         Whether its job can no longer meet its objective.
     """
 
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -12,7 +12,7 @@
 """Score added on a worker where the task failed before; outweighs all other terms."""
 
 INTERFERENCE_PENALTY = 10.0
-"""Score added where a filler task and a serving task would share a worker."""
+"""Score added where filler and serving tasks would disturb each other on a worker."""
 
 OTHER_RACK_PENALTY = 1.0
 """Score added outside the preferred rack; outweighs any difference in fit."""
@@ -20,10 +20,13 @@
 
 def is_suitable(step: Step, worker: WorkerLedger) -> bool:
     """Tell whether a worker, if empty, could run a task of a step."""
-    needed = step.specification
-    if needed.required_label and needed.required_label not in worker.entry.labels:
+    specification = step.specification
+    if (
+        specification.required_label
+        and specification.required_label not in worker.entry.labels
+    ):
         return False
-    return needed.charged.fits_in(worker.entry.capacity)
+    return specification.charged.fits_in(worker.entry.capacity)
 
 
 def choose_worker(
@@ -39,7 +42,7 @@
         The task to place.
     workers : iterable of WorkerLedger
         The workers that may run the task.
-    kept_share : float, default=0.0
+    headroom_share : float, default=0.0
         Share of a worker's processors and memory that must stay free, unless the
         worker has no runs.
 
@@ -117,39 +120,41 @@
 def _has_room(
     step: Step, worker: WorkerLedger, free: Resources, planned_here: int
 ) -> bool:
-    needed = step.specification
-    if not needed.charged.fits_in(free):
+    specification = step.specification
+    if not specification.charged.fits_in(free):
         return False
-    if not needed.max_per_worker:
+    if not specification.max_per_worker:
         return True
     name = step.name
     running_here = worker.count_step(name.job_id, name.occurrence, name.step)
-    return running_here + planned_here < needed.max_per_worker
+    return running_here + planned_here < specification.max_per_worker
 
 
 def _leaves_headroom(step: Step, worker: WorkerLedger, share: float) -> bool:
     if not worker.runs:
         return True
-    left = worker.free - step.specification.charged
+    remaining = worker.free - step.specification.charged
     capacity = worker.entry.capacity
     return (
-        left.cpu_millis >= share * capacity.cpu_millis
-        and left.memory_mb >= share * capacity.memory_mb
+        remaining.cpu_millis >= share * capacity.cpu_millis
+        and remaining.memory_mb >= share * capacity.memory_mb
     )
 
 
 def _score(task: Task, worker: WorkerLedger) -> float:
-    needed = task.step.specification
-    left = worker.free - needed.charged
+    specification = task.step.specification
+    remaining = worker.free - specification.charged
     capacity = worker.entry.capacity
-    score = left.dominant_share(capacity)
+    score = remaining.dominant_share(capacity)
     if worker.entry.worker_id in task.failed_on:
         score += EARLIER_FAILURE_PENALTY
-    if needed.preferred_rack and needed.preferred_rack != worker.rack:
+    if specification.preferred_rack and specification.preferred_rack != worker.rack:
         score += OTHER_RACK_PENALTY
-    if needed.is_filler and any(_is_serving(run.task) for run in worker.runs.values()):
+    if specification.is_filler and any(
+        _is_serving(run.task) for run in worker.runs.values()
+    ):
         score += INTERFERENCE_PENALTY
-    if needed.target_s and any(
+    if specification.target_s and any(
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
         score += INTERFERENCE_PENALTY
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -23,36 +23,38 @@
 MAX_WORKERS_PER_ADVICE_CALL = 30
 """Maximum number of workers named in one call for advice.
 
-A call takes longer for each worker named; this many leave enough time to meet the
-objective.
+Each adds to the duration of the call; more would endanger the objective.
 """
 
 MAX_RESERVING_STEPS = 1
-"""Maximum number of steps per pool that reserve workers, as reserved room is idle."""
+"""Maximum number of steps per pool that reserve workers; reserved room stays idle."""
 
 LARGE_TASK_SHARE = 0.5
-"""Share of a worker from which a task is large and needs a worker reserved for it."""
+"""Share of a worker from which a task finds room only if the worker is reserved."""
 
 PREEMPTION_RESERVATION = -1
-"""Priority for which workers with preempted runs are reserved, above every queue's."""
+"""Priority of the reservation of a worker on which runs are preempted.
+
+It is more urgent than every queue, so the planning pass places nothing there.
+"""
 
 EXPENSIVE_ADVICE_S = 0.1
-"""Seconds from which a call for advice is expensive and leaves calls to cheap ones."""
+"""Duration in seconds from which a call for advice counts as expensive."""
 
 CALLS_KEPT_FOR_CHEAP_ADVICE = 2
-"""Concurrent calls for advice kept for cheap ones, which urgent steps wait for."""
+"""Concurrent calls kept for advice that is not expensive, which urgent steps need."""
 
 MAX_RENEWING_STEPS = 3
 """Steps per pool whose tickets are renewed while they still wait for room."""
 
 RENEWAL_CALL_SHARE = 0.5
-"""Share of the concurrent calls that renewals may use; first calls precede them."""
+"""Share of the concurrent calls that renewals may use; a step's first call precedes."""
 
 RENEWAL_MARGIN_S = 0.1
-"""Seconds before a renewed ticket is needed at which it should have arrived."""
+"""Seconds by which a renewed ticket should arrive before it is needed."""
 
 MAX_UNPLACED_STEPS = 24
-"""Steps of one priority and pool that a plan fails to place before it skips others."""
+"""Steps of a pool and priority that a plan fails to place before it skips the rest."""
 
 URGENT_HEADROOM_SHARE = 0.15
 """Share of a worker that non-preemptible work leaves free for urgent work."""
@@ -77,7 +79,7 @@
     reserving_steps : dict of str to int
         Number of steps that have reserved workers, by pool.
     unplaced_steps : dict of tuple of str and int to int
-        Number of steps without a newly placed task, by pool and priority.
+        Number of steps that could place no task, by pool and priority.
     renewing_steps : dict of str to int
         Number of steps considered for renewal of their tickets, by pool.
     """
@@ -96,7 +98,7 @@
         return self.reservations.get(worker.entry.worker_id, priority) < priority
 
     def admit_ticket_renewal(self, waiting: WaitingStep) -> bool:
-        """Count a step and tell whether it is among the first feasible of its pool."""
+        """Count a step and tell whether it is one of the first feasible in its pool."""
         if waiting.is_infeasible or waiting.step.job.is_excess:
             return False
         pool = waiting.queue.pool
@@ -121,7 +123,7 @@
 
         Parameters
         ----------
-        advice_lanes : int
+        max_advice_calls : int
             Maximum number of concurrent calls for advice.
 
         Returns
@@ -216,9 +218,9 @@
     ) -> None:
         """Reserve workers for a gang or for a large task."""
         pool = waiting.queue.pool
-        reserving_steps = state.reserving_steps.get(pool, 0)
-        if reserving_steps < MAX_RESERVING_STEPS:
-            state.reserving_steps[pool] = reserving_steps + 1
+        reserving_count = state.reserving_steps.get(pool, 0)
+        if reserving_count < MAX_RESERVING_STEPS:
+            state.reserving_steps[pool] = reserving_count + 1
             priority = waiting.queue.priority
             for worker_id in _select_workers_to_reserve(
                 waiting.step, workers, task_count
@@ -347,8 +349,10 @@
     and tasks that run until their job is cancelled may use all of a worker.
     """
     specification = waiting.step.specification
-    is_short = not specification.is_lasting and not specification.is_checkpointing
-    return URGENT_HEADROOM_SHARE if waiting.queue.priority > 0 and is_short else 0.0
+    is_short_lived = not specification.is_lasting and not specification.is_checkpointing
+    return (
+        URGENT_HEADROOM_SHARE if waiting.queue.priority > 0 and is_short_lived else 0.0
+    )
 
 
 def _claim_cheapest_room(
@@ -388,7 +392,7 @@
 ) -> set[str]:
     """Return the workers to reserve for tasks, those that lack the least room first.
 
-    A gang gets none if its tasks do not fit on all of the workers.
+    A gang gets none if its tasks would not all fit even on empty workers.
     """
     needed = step.specification.charged
     candidates = [
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -14,12 +14,12 @@
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 
 NEARLY_DONE_PERCENT = 85
-"""Progress in percent from which a run is no longer preempted."""
+"""Progress in percent from which a run is left to end by itself."""
 
 MIN_RUN_AGE_S = 0.2
 """Age in seconds below which a run is not preempted.
 
-A younger run would have spent its time on restoring its checkpoint only.
+A younger run would be stopped after little more than restoring its checkpoint.
 """
 
 MIN_EXTRAPOLATION_PERCENT = 10
@@ -44,7 +44,7 @@
         self._now_s = now_s
         self._claimed: dict[str, Resources] = {}
         self._victims: dict[str, list[Run]] = {}
-        self._attainable_room: dict[tuple[str, int | None, float], Resources] = {}
+        self._attainable_room_cache: dict[tuple[str, int | None, float], Resources] = {}
 
     @property
     def claimed_workers(self) -> set[str]:
@@ -63,14 +63,14 @@
         needed : Resources
             The room that the task takes.
         priority : int
-            Priority of the task; only runs of later priorities are preempted.
+            Priority of the task; only runs of less urgent queues are preempted.
 
         Returns
         -------
         victims : list of Run or None
-            The runs to preempt in addition to those already chosen, which may be no
-            runs; None if there would be no room even with every preemptible run
-            stopped.
+            The runs to preempt in addition to those of earlier claims; empty if enough
+            room is or becomes free without them. None if preempting every run that may
+            be preempted would not make enough room.
         """
         worker_id = worker.entry.worker_id
         earlier_victims = self._victims.get(worker_id, [])
@@ -110,17 +110,17 @@
             Time in seconds; runs that are expected to end within it count as ended.
         """
         key = (worker.entry.worker_id, priority, horizon_s)
-        cached = self._attainable_room.get(key)
+        cached = self._attainable_room_cache.get(key)
         if cached is not None:
             return cached
         room = worker.free - self._claimed.get(worker.entry.worker_id, NO_RESOURCES)
         for run in worker.runs.values():
             is_stopping = run.state is RunState.STOPPING
-            may_stop = priority is not None and self._is_preemptible(run, priority)
+            may_preempt = priority is not None and self._is_preemptible(run, priority)
             ends_soon = estimate_remaining_s(run, self._now_s) <= horizon_s
-            if is_stopping or may_stop or ends_soon:
+            if is_stopping or may_preempt or ends_soon:
                 room = room + run.task.step.specification.charged
-        self._attainable_room[key] = room
+        self._attainable_room_cache[key] = room
         return room
 
     def release_room(
@@ -163,7 +163,8 @@
     Returns
     -------
     remaining_s : float
-        Seconds until the run ends; infinite if its progress does not tell.
+        Seconds until the run ends; infinite if it is lasting, is not confirmed or has
+        made too little progress.
     """
     percent = run.progress_percent
     is_lasting = run.task.step.specification.is_lasting
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -233,7 +233,7 @@
     def process_advice(
         self,
         order: AskAdvice,
-        tickets: dict[str, str] | None,
+        granted_tickets: dict[str, str] | None,
         valid_s: float,
     ) -> None:
         """Store the answer to a call for advice.
@@ -242,7 +242,7 @@
         ----------
         order : AskAdvice
             The call, with the workers that it named.
-        tickets : dict of str to str or None
+        granted_tickets : dict of str to str or None
             A ticket for each worker that may run the step, by worker; None if the
             advice service did not answer.
         valid_s : float
@@ -254,20 +254,22 @@
             return
         step.is_asking = False
         now = self.clock.now()
-        if tickets is None:
+        if granted_tickets is None:
             step.ask_not_before_s = now + 0.1
             return
         for worker_id in order.worker_ids:
-            step.advised[worker_id] = worker_id in tickets
-            if worker_id in tickets:
-                ticket = Ticket(tickets[worker_id], now + valid_s - TICKET_MARGIN_S)
+            step.advised[worker_id] = worker_id in granted_tickets
+            if worker_id in granted_tickets:
+                ticket = Ticket(
+                    granted_tickets[worker_id], now + valid_s - TICKET_MARGIN_S
+                )
                 step.tickets[worker_id] = ticket
         self._decide(
             "advice_received",
             order.step.job_id,
             step=str(order.step),
             asked=len(order.worker_ids),
-            granted=len(tickets),
+            granted=len(granted_tickets),
         )
 
     def check_timeouts(self) -> list[Order]:
--- a/src/fuchsiadale/decision/workflow/triage.py
+++ b/src/fuchsiadale/decision/workflow/triage.py
@@ -1,8 +1,8 @@
 """Selects the waiting jobs to defer when a pool cannot serve all of them in time.
 
-On a burst, or a backlog after an outage, serving the job that is due first would meet
-the objectives of hardly any job of a priority. Instead, jobs are accepted in the order
-of their due times, and whenever one would be late, the largest job accepted so far is
+In a burst, or a backlog after an outage, of jobs of one priority, serving the job that
+is due first would meet hardly any objective. Instead, jobs are accepted in the order of
+their due times, and whenever one would be late, the largest job accepted so far is
 deferred. This keeps the most jobs in time (Moore, "An n job, one machine sequencing
 algorithm for minimizing the number of late jobs", Management Science, 1968).
 """
@@ -25,7 +25,7 @@
         Id of the job.
     work_s : float
         Time for which its remaining work would fill the whole pool, in seconds.
-    chain_s : float
+    critical_path_s : float
         Length of the critical path of its remaining work, in seconds.
     due_s : float
         When it has to end to meet its objective, on the loop's clock.
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -22,6 +22,7 @@
 )
 
 TICK_S = 0.05
+"""Seconds by which each step of a simulation advances the clock."""
 
 
 def simulate(
@@ -129,7 +130,9 @@
 
 
 SIMULATION_SEEDS = range(10)
+
 SIMULATED_S = 30.0
+"""Seconds for which a simulation submits jobs."""
 
 
 def simulate_imaging_pool() -> float:
