--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -20,13 +20,13 @@
 
 def is_suitable(step: Step, worker: WorkerLedger) -> bool:
     """Tell whether a worker, if empty, could run a task of a step."""
-    specification = step.specification
+    requirements = step.specification
     if (
-        specification.required_label
-        and specification.required_label not in worker.entry.labels
+        requirements.required_label
+        and requirements.required_label not in worker.entry.labels
     ):
         return False
-    return specification.charged.fits_in(worker.entry.capacity)
+    return requirements.charged.fits_in(worker.entry.capacity)
 
 
 def choose_worker(
@@ -120,14 +120,14 @@
 def _has_room(
     step: Step, worker: WorkerLedger, free: Resources, planned_here: int
 ) -> bool:
-    specification = step.specification
-    if not specification.charged.fits_in(free):
+    requirements = step.specification
+    if not requirements.charged.fits_in(free):
         return False
-    if not specification.max_per_worker:
+    if not requirements.max_per_worker:
         return True
     name = step.name
     running_here = worker.count_step(name.job_id, name.occurrence, name.step)
-    return running_here + planned_here < specification.max_per_worker
+    return running_here + planned_here < requirements.max_per_worker
 
 
 def _leaves_headroom(step: Step, worker: WorkerLedger, share: float) -> bool:
@@ -142,19 +142,19 @@
 
 
 def _score(task: Task, worker: WorkerLedger) -> float:
-    specification = task.step.specification
-    remaining = worker.free - specification.charged
+    requirements = task.step.specification
+    remaining = worker.free - requirements.charged
     capacity = worker.entry.capacity
     score = remaining.dominant_share(capacity)
     if worker.entry.worker_id in task.failed_on:
         score += EARLIER_FAILURE_PENALTY
-    if specification.preferred_rack and specification.preferred_rack != worker.rack:
+    if requirements.preferred_rack and requirements.preferred_rack != worker.rack:
         score += OTHER_RACK_PENALTY
-    if specification.is_filler and any(
+    if requirements.is_filler and any(
         _is_serving(run.task) for run in worker.runs.values()
     ):
         score += INTERFERENCE_PENALTY
-    if specification.target_s and any(
+    if requirements.target_s and any(
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
         score += INTERFERENCE_PENALTY
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -48,7 +48,7 @@
 """Steps per pool whose tickets are renewed while they still wait for room."""
 
 RENEWAL_CALL_SHARE = 0.5
-"""Share of the concurrent calls that renewals may use; a step's first call precedes."""
+"""Share of the concurrent calls for renewals; the rest is for first calls of steps."""
 
 RENEWAL_MARGIN_S = 0.1
 """Seconds by which a renewed ticket should arrive before it is needed."""
