--- a/src/fuchsiadale/decision/workflow/durations.py
+++ b/src/fuchsiadale/decision/workflow/durations.py
@@ -14,7 +14,7 @@
 from attrs import define
 
 PRIOR_WEIGHT = 2.0
-"""Weight of the uncorrected estimates, in number of steps."""
+"""Weight of the prior that estimates are right, in number of observed steps."""
 
 MAX_WEIGHT = 60.0
 """Maximum total weight of past observations, in number of steps.
@@ -34,9 +34,9 @@
     ----------
     total_weight : float
         Total weight of the observed tasks; the tasks of one step weigh 1 together.
-    mean_estimate : float
+    mean_log_estimate : float
         Mean of the logarithm of the estimates.
-    mean_ratio : float
+    mean_log_ratio : float
         Mean of the logarithm of the ratio between duration and estimate.
     squared_deviations : float
         Sum of the squared deviations of the logarithm of the estimates.
@@ -45,12 +45,12 @@
     """
 
     total_weight: float = 0.0
-    mean_estimate: float = 0.0
-    mean_ratio: float = 0.0
+    mean_log_estimate: float = 0.0
+    mean_log_ratio: float = 0.0
     squared_deviations: float = 0.0
     deviation_products: float = 0.0
 
-    def observe(self, estimate: float, ratio: float, weight: float) -> None:
+    def observe(self, log_estimate: float, log_ratio: float, weight: float) -> None:
         """Add a task to the regression.
 
         The means and sums are updated incrementally (West, "Updating mean and variance
@@ -58,9 +58,9 @@
 
         Parameters
         ----------
-        estimate : float
+        log_estimate : float
             Logarithm of the estimate.
-        ratio : float
+        log_ratio : float
             Logarithm of the ratio between duration and estimate.
         weight : float
             Weight of the task.
@@ -72,20 +72,25 @@
             self.deviation_products *= decay
         self.total_weight += weight
         share = weight / self.total_weight
-        deviation = estimate - self.mean_estimate
-        self.mean_estimate += share * deviation
-        self.squared_deviations += weight * deviation * (estimate - self.mean_estimate)
-        self.deviation_products += weight * deviation * (ratio - self.mean_ratio)
-        self.mean_ratio += share * (ratio - self.mean_ratio)
+        deviation = log_estimate - self.mean_log_estimate
+        self.mean_log_estimate += share * deviation
+        self.squared_deviations += (
+            weight * deviation * (log_estimate - self.mean_log_estimate)
+        )
+        self.deviation_products += (
+            weight * deviation * (log_ratio - self.mean_log_ratio)
+        )
+        self.mean_log_ratio += share * (log_ratio - self.mean_log_ratio)
 
-    def predict(self, estimate: float) -> float:
+    def predict(self, log_estimate: float) -> float:
         """Return the logarithm of the expected duration for that of an estimate."""
         offset = (
-            self.mean_ratio * self.total_weight / (self.total_weight + PRIOR_WEIGHT)
+            self.mean_log_ratio * self.total_weight / (self.total_weight + PRIOR_WEIGHT)
         )
         slope = self.deviation_products / (self.squared_deviations + PRIOR_WEIGHT)
+        # A slope of 0 keeps estimates proportional; -1 ignores them.
         slope = min(0.0, max(-1.0, slope))
-        return estimate + offset + slope * (estimate - self.mean_estimate)
+        return log_estimate + offset + slope * (log_estimate - self.mean_log_estimate)
 
 
 class DurationModel:
@@ -108,21 +113,26 @@
         ran_s : float
             Duration of the run, in seconds.
         weight : float
-            Share of the task in its step, as the tasks of a step resemble each other.
+            One over the number of tasks of its step, so that a step counts once: its
+            tasks resemble each other.
         """
         if estimated_s <= 0.0:
             return
-        estimate = log(max(estimated_s, MIN_DURATION_S))
-        ratio = log(max(ran_s, MIN_DURATION_S)) - estimate
+        log_estimate = log(max(estimated_s, MIN_DURATION_S))
+        log_ratio = log(max(ran_s, MIN_DURATION_S)) - log_estimate
         self._regressions.setdefault(queue, _QueueRegression()).observe(
-            estimate, ratio, weight
+            log_estimate, log_ratio, weight
         )
 
     def predict_s(self, queue: str, estimated_s: float) -> float:
-        """Return the expected duration of a task in seconds, 0 if nothing is known."""
+        """Return the expected duration of a task, in seconds.
+
+        Without an estimate, it is the geometric mean of the observed durations. It is 0
+        if there is neither an estimate nor an observed run of the queue.
+        """
         fit = self._regressions.get(queue)
         if fit is None:
             return estimated_s
         if estimated_s <= 0.0:
-            return exp(fit.mean_estimate + fit.mean_ratio)
+            return exp(fit.mean_log_estimate + fit.mean_log_ratio)
         return exp(fit.predict(log(max(estimated_s, MIN_DURATION_S))))
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -1,9 +1,10 @@
-"""Predicts how long jobs still take and when they are due.
+"""Predicts how long jobs still take and the deadlines by their objectives.
 
 The objective of a job is a bound on its duration: the stretch of its queue times the
 critical path of its steps, plus the slack of the queue. The critical path is the
-longest chain of dependent work. For the objective, a step that is wider than a quarter
-of its pool, or than its workspace may run at once, counts as several waves in sequence.
+longest chain of dependent work. For the objective, a step with more tasks than a
+quarter of its pool can run at once, or than the limit of its workspace allows at once,
+counts as several waves in sequence.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 
 @frozen
 class _OccurrenceForecast:
-    """Due time and remaining work of an occurrence of a job.
+    """Deadline and remaining work of an occurrence of a job.
 
     Attributes
     ----------
     done_tasks : int
         Number of tasks of the job that were done when the forecast was made.
     due_s : float
-        When the occurrence has to end to meet its objective, on the loop's clock.
+        Deadline of the occurrence by its objective, on the loop's clock.
     critical_path_s : float
         Length of the critical path of the work that is not done, in seconds.
     work_s : float
@@ -47,7 +48,10 @@
 
 
 class Forecast:
-    """Predicts durations and due times from the state of the cell at one time.
+    """Predicts durations and deadlines.
+
+    The workers are those at its creation; ended tasks are taken into account as they
+    end.
 
     Parameters
     ----------
@@ -85,7 +89,7 @@
         return predicted_s
 
     def due_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return when an occurrence is due by its objective, on the loop's clock."""
+        """Return the objective's deadline of an occurrence, on the loop's clock."""
         return self._forecast_occurrence(job, occurrence, queue).due_s
 
     def remaining_critical_path_s(
@@ -128,6 +132,11 @@
     def _critical_path_s(
         self, job: Job, occurrence: int, queue: Queue, from_start: bool
     ) -> float:
+        """Return the length of the critical path of an occurrence, in seconds.
+
+        With `from_start`, all steps count, in waves; otherwise only unfinished steps
+        count, each with the duration of one task.
+        """
         lengths: list[float] = []
         for step in job.occurrence_steps(occurrence):
             predecessors_s = max(
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -1,8 +1,10 @@
 """Sorts waiting steps into the order in which they are served.
 
-The order matters on an overloaded pool. Steps of urgent queues come first. Within a
-priority, jobs that can still meet their objective come first, and among these the job
-that is due first. Jobs beyond the submission rate of their workspace come last.
+The order matters on an overloaded pool. Jobs beyond the submission rate of their
+workspace come last, whatever their priority. The others are ordered by the priority of
+their queue. Within a priority, jobs that can still meet their objective precede those
+that cannot, deferred jobs (see `triage`) follow the other feasible ones, and then the
+earliest deadline comes first.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 
 LEAST_DURATION_SHARE = 0.7
-"""Share of an expected duration that work is sure to take.
+"""Share of an expected duration that remaining work is assumed to take at the least.
 
 Callers' estimates are off by half on average.
 """
@@ -34,7 +36,7 @@
     queue : Queue
         The queue of its job.
     due_s : float
-        When its job has to end to meet its objective, on the loop's clock.
+        Deadline of its job by the objective, on the loop's clock.
     is_infeasible : bool
         Whether its job can no longer meet its objective.
     """
@@ -46,7 +48,24 @@
 
 
 def is_infeasible(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
-    """Tell whether the job of a step can no longer meet its objective."""
+    """Tell whether the job of a step can no longer meet its objective.
+
+    Parameters
+    ----------
+    step : Step
+        The step; a lasting one is never infeasible.
+    queue : Queue
+        The queue of the job.
+    forecast : Forecast
+        Predicts the remaining time and the deadline of the job.
+    now_s : float
+        The time on the loop's clock.
+
+    Returns
+    -------
+    is_infeasible : bool
+        Whether the job would be late even if its work took the least expected time.
+    """
     if step.specification.is_lasting:
         return False
     job, occurrence = step.job, step.name.occurrence
@@ -71,9 +90,14 @@
     queue_of : callable
         Returns the queue of a job, or None if it is not configured.
     forecast : Forecast
-        Predicts the remaining time and the due time of jobs.
+        Predicts the remaining time and the deadlines of jobs.
     now_s : float
         The time on the loop's clock.
+
+    Returns
+    -------
+    waiting : list of WaitingStep
+        The steps, the first to serve first.
     """
     waiting = []
     for step in steps:
--- a/src/fuchsiadale/decision/workflow/pacing.py
+++ b/src/fuchsiadale/decision/workflow/pacing.py
@@ -13,7 +13,10 @@
 from fuchsiadale.decision.workflow.messages import PaceRun
 
 SLOWDOWN_SHARE = 0.85
-"""Share of the latency target from which the pace of filler tasks is halved."""
+"""Share of the latency target from which each report halves the pace of filler tasks.
+
+At the target itself, filler tasks are paused.
+"""
 
 SPEEDUP_SHARE = 0.6
 """Share of the latency target below which filler tasks may speed up again."""
@@ -26,12 +29,12 @@
 
 
 def adjust_filler_paces(runs: Iterable[Run]) -> list[PaceRun]:
-    """Adjust the pace of the filler tasks on a worker to its serving tasks.
+    """Set the pace of the filler runs on a worker by the latency of its serving runs.
 
     Parameters
     ----------
     runs : iterable of Run
-        All runs on the worker, with the loads that it last reported.
+        All runs on the worker, with their last reported loads; paces change in place.
 
     Returns
     -------
@@ -54,7 +57,10 @@
 
 
 def _latency_ratio(run: Run) -> float:
-    """Return the tail latency of a serving run as a share of its target, else 0."""
+    """Return the tail latency of a run as a share of its target.
+
+    It is 0 if the run has no target or has reported no load.
+    """
     target_s = run.task.step.specification.target_s
     if not target_s or run.load is None:
         return 0.0
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -9,13 +9,13 @@
 from fuchsiadale.decision.workflow.ledger import WorkerLedger
 
 EARLIER_FAILURE_PENALTY = 100.0
-"""Score added on a worker where the task failed before; outweighs all other terms."""
+"""Penalty on a worker where the task failed before; outweighs all other penalties."""
 
 INTERFERENCE_PENALTY = 10.0
-"""Score added where filler and serving tasks would disturb each other on a worker."""
+"""Penalty where filler and serving tasks would disturb each other on a worker."""
 
 OTHER_RACK_PENALTY = 1.0
-"""Score added outside the preferred rack; outweighs any difference in fit."""
+"""Penalty outside the preferred rack; outweighs any difference in fit."""
 
 
 def is_suitable(step: Step, worker: WorkerLedger) -> bool:
@@ -49,7 +49,7 @@
     Returns
     -------
     best : WorkerLedger or None
-        The worker; None if no worker has room.
+        The worker; None if no worker has room and keeps the headroom.
     """
     step = task.step
     best: WorkerLedger | None = None
@@ -72,6 +72,13 @@
 
     If the tasks are slow when spread over racks, each single rack is tried first.
 
+    Parameters
+    ----------
+    tasks : list of Task
+        All tasks of the gang.
+    workers : iterable of WorkerLedger
+        The workers that may run the tasks.
+
     Returns
     -------
     placements : list of tuple of Task and WorkerLedger, or None
@@ -142,6 +149,7 @@
 
 
 def _score(task: Task, worker: WorkerLedger) -> float:
+    """Return the cost of placing a task on a worker; the lowest is best."""
     requirements = task.step.specification
     remaining = worker.free - requirements.charged
     capacity = worker.entry.capacity
@@ -166,7 +174,7 @@
 
 
 def count_fitting_tasks(free: Resources, needed: Resources) -> int:
-    """Return how many tasks that need `needed` each fit into `free`."""
+    """Return how many tasks fit into free room; 1 if a task needs no resources."""
     counts = [
         available // need
         for available, need in (
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -1,4 +1,7 @@
-"""Plans starts of waiting tasks, calls for advice and preemptions."""
+"""Plans which waiting tasks start, which runs to preempt and what advice to request.
+
+The advice service says which workers may run a step and issues a ticket for each.
+"""
 
 from __future__ import annotations
 
@@ -20,44 +23,40 @@
 from fuchsiadale.decision.workflow.preemption import Preemptor
 from fuchsiadale.decision.workflow.scheduler import Scheduler
 
-MAX_WORKERS_PER_ADVICE_CALL = 30
-"""Maximum number of workers named in one call for advice.
-
-Each adds to the duration of the call; more would endanger the objective.
-"""
+MAX_ADVISED_WORKERS = 30
+"""Workers named in one advice call; a longer call could make jobs miss objectives."""
 
 MAX_RESERVING_STEPS = 1
 """Maximum number of steps per pool that reserve workers; reserved room stays idle."""
 
 LARGE_TASK_SHARE = 0.5
-"""Share of a worker from which a task finds room only if the worker is reserved."""
-
-PREEMPTION_RESERVATION = -1
-"""Priority of the reservation of a worker on which runs are preempted.
-
-It is more urgent than every queue, so the planning pass places nothing there.
+"""Share of a worker from which a task counts as large, so that it needs a reservation
+to find room that smaller tasks would keep taking.
 """
 
+PREEMPTION_RESERVATION_PRIORITY = -1
+"""Reservation priority of a worker with claimed room; queues come after it, from 0."""
+
 EXPENSIVE_ADVICE_S = 0.1
-"""Duration in seconds from which a call for advice counts as expensive."""
+"""Duration in seconds from which an advice call counts as expensive."""
 
 CALLS_KEPT_FOR_CHEAP_ADVICE = 2
-"""Concurrent calls kept for advice that is not expensive, which urgent steps need."""
+"""Concurrent advice calls that expensive ones leave free for those of urgent steps."""
 
-MAX_RENEWING_STEPS = 3
-"""Steps per pool whose tickets are renewed while they still wait for room."""
+MAX_EARLY_ADVICE_STEPS = 3
+"""Steps per pool that get and renew tickets before there is room for them."""
 
-RENEWAL_CALL_SHARE = 0.5
-"""Share of the concurrent calls for renewals; the rest is for first calls of steps."""
+EARLY_CALL_SHARE = 0.5
+"""Share of advice calls; once as many are open, no step without room makes a call."""
 
 RENEWAL_MARGIN_S = 0.1
-"""Seconds by which a renewed ticket should arrive before it is needed."""
+"""Seconds by which a renewal should arrive before the present ticket expires."""
 
 MAX_UNPLACED_STEPS = 24
 """Steps of a pool and priority that a plan fails to place before it skips the rest."""
 
 URGENT_HEADROOM_SHARE = 0.15
-"""Share of a worker that non-preemptible work leaves free for urgent work."""
+"""Share of a worker left free for urgent work; see `_required_headroom_share`."""
 
 
 @define
@@ -69,7 +68,7 @@
     now_s : float
         The time of the pass, on the loop's clock.
     max_advice_calls : int
-        Maximum number of concurrent calls for advice.
+        Maximum number of concurrent advice calls.
     usable_workers : dict of str to list of WorkerLedger
         The workers that accept new tasks, by pool.
     preemptor : Preemptor
@@ -80,8 +79,8 @@
         Number of steps that have reserved workers, by pool.
     unplaced_steps : dict of tuple of str and int to int
         Number of steps that could place no task, by pool and priority.
-    renewing_steps : dict of str to int
-        Number of steps considered for renewal of their tickets, by pool.
+    early_advice_steps : dict of str to int
+        Number of steps considered for early advice calls, by pool.
     """
 
     now_s: float
@@ -91,19 +90,22 @@
     reservations: dict[str, int] = Factory(dict)
     reserving_steps: dict[str, int] = Factory(dict)
     unplaced_steps: dict[tuple[str, int], int] = Factory(dict)
-    renewing_steps: dict[str, int] = Factory(dict)
+    early_advice_steps: dict[str, int] = Factory(dict)
 
     def is_reserved_against(self, worker: WorkerLedger, priority: int) -> bool:
         """Tell whether a worker is reserved for work more urgent than `priority`."""
         return self.reservations.get(worker.entry.worker_id, priority) < priority
 
-    def admit_ticket_renewal(self, waiting: WaitingStep) -> bool:
-        """Count a step and tell whether it is one of the first feasible in its pool."""
+    def admit_early_advice(self, waiting: WaitingStep) -> bool:
+        """Tell whether a step is among the first of its pool in planning order.
+
+        Infeasible steps and steps of excess jobs are neither admitted nor counted.
+        """
         if waiting.is_infeasible or waiting.step.job.is_excess:
             return False
         pool = waiting.queue.pool
-        self.renewing_steps[pool] = self.renewing_steps.get(pool, 0) + 1
-        return self.renewing_steps[pool] <= MAX_RENEWING_STEPS
+        self.early_advice_steps[pool] = self.early_advice_steps.get(pool, 0) + 1
+        return self.early_advice_steps[pool] <= MAX_EARLY_ADVICE_STEPS
 
 
 class Planner:
@@ -119,17 +121,17 @@
         self._scheduler = scheduler
 
     def plan(self, max_advice_calls: int) -> list[Order]:
-        """Place the waiting tasks that can start now.
+        """Place waiting tasks; preempt runs or request advice for those without room.
 
         Parameters
         ----------
         max_advice_calls : int
-            Maximum number of concurrent calls for advice.
+            Maximum number of concurrent advice calls.
 
         Returns
         -------
         orders : list of Order
-            The orders to carry out.
+            The orders to carry out, including those pending from earlier events.
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
@@ -200,10 +202,8 @@
             self._start_gang(step, placements)
             return
         if not waiting.is_infeasible:
-            will_have_room = self._preempt_runs(
-                waiting, allowed, len(step.tasks), state
-            )
-            if will_have_room:
+            has_room = self._preempt_runs(waiting, allowed, len(step.tasks), state)
+            if has_room:
                 return
         if waiting.queue.advice is not None:
             self._request_advice(waiting, workers, len(step.tasks), state)
@@ -222,9 +222,7 @@
         if reserving_count < MAX_RESERVING_STEPS:
             state.reserving_steps[pool] = reserving_count + 1
             priority = waiting.queue.priority
-            for worker_id in _select_workers_to_reserve(
-                waiting.step, workers, task_count
-            ):
+            for worker_id in _workers_to_reserve(waiting.step, workers, task_count):
                 state.reservations.setdefault(worker_id, priority)
 
     def _start_gang(
@@ -267,7 +265,7 @@
                 state.preemptor.release_room(worker, needed, victims)
             return False
         for worker, victims in claims:
-            state.reservations[worker.entry.worker_id] = PREEMPTION_RESERVATION
+            state.reservations[worker.entry.worker_id] = PREEMPTION_RESERVATION_PRIORITY
             for run in victims:
                 self._scheduler.preempt(run)
         return is_complete
@@ -286,9 +284,9 @@
             return
         needed = step.specification.charged
         priority = None if waiting.is_infeasible else waiting.queue.priority
-        may_renew = state.admit_ticket_renewal(waiting)
-        may_renew = (
-            may_renew and scheduler.asking < RENEWAL_CALL_SHARE * state.max_advice_calls
+        asks_early = state.admit_early_advice(waiting)
+        asks_early = (
+            asks_early and scheduler.asking < EARLY_CALL_SHARE * state.max_advice_calls
         )
         renewal_threshold_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
         total_fitting = 0
@@ -297,23 +295,22 @@
             worker_id = worker.entry.worker_id
             if step.advised.get(worker_id) is False:
                 continue
-            free = state.preemptor.find_attainable_room(worker, priority, advice.base_s)
-            fitting = count_fitting_tasks(free, needed)
+            room = state.preemptor.find_attainable_room(worker, priority, advice.base_s)
+            fitting = count_fitting_tasks(room, needed)
             if step.has_ticket(worker_id, state.now_s):
+                # Only gangs may still need this room: single tasks are placed first.
                 total_fitting += fitting if task_count > 1 else 0
-                if may_renew and not step.has_ticket(worker_id, renewal_threshold_s):
+                if asks_early and not step.has_ticket(worker_id, renewal_threshold_s):
                     candidates.append((-fitting, worker_id))
                 continue
             total_fitting += fitting
             is_granted = step.advised.get(worker_id, False)
-            if fitting or worker_id not in step.advised or (may_renew and is_granted):
+            if fitting or worker_id not in step.advised or (asks_early and is_granted):
                 candidates.append((-fitting, worker_id))
-        if (total_fitting < task_count and not may_renew) or not candidates:
+        if (total_fitting < task_count and not asks_early) or not candidates:
             return
         candidates.sort()
-        chosen = tuple(
-            worker_id for _, worker_id in candidates[:MAX_WORKERS_PER_ADVICE_CALL]
-        )
+        chosen = tuple(worker_id for _, worker_id in candidates[:MAX_ADVISED_WORKERS])
         cost_s = advice.cost_s(len(chosen))
         kept_calls = CALLS_KEPT_FOR_CHEAP_ADVICE if cost_s >= EXPENSIVE_ADVICE_S else 0
         if scheduler.asking >= max(1, state.max_advice_calls - kept_calls):
@@ -345,13 +342,17 @@
     """Return the share of a worker that tasks of a step must leave free.
 
     The headroom is for bursts of urgent work on a pool that is full of work without
-    checkpoints, which would lose its progress if it was stopped. Tasks with checkpoints
-    and tasks that run until their job is cancelled may use all of a worker.
+    checkpoints, which would lose its progress if it was stopped. Tasks with
+    checkpoints, lasting tasks and tasks of priority 0 may use all of a worker.
     """
     specification = waiting.step.specification
-    is_short_lived = not specification.is_lasting and not specification.is_checkpointing
+    must_leave_headroom = (
+        not specification.is_lasting and not specification.is_checkpointing
+    )
     return (
-        URGENT_HEADROOM_SHARE if waiting.queue.priority > 0 and is_short_lived else 0.0
+        URGENT_HEADROOM_SHARE
+        if waiting.queue.priority > 0 and must_leave_headroom
+        else 0.0
     )
 
 
@@ -361,7 +362,7 @@
     needed: Resources,
     priority: int,
 ) -> tuple[WorkerLedger, list[Run]] | None:
-    """Claim room on the worker where the fewest runs have to be preempted for it."""
+    """Claim room where it takes the fewest preemptions; None if no worker has room."""
     best: tuple[WorkerLedger, list[Run]] | None = None
     for worker in workers:
         victims = preemptor.claim_room(worker, needed, priority)
@@ -387,12 +388,13 @@
     )
 
 
-def _select_workers_to_reserve(
+def _workers_to_reserve(
     step: Step, workers: list[WorkerLedger], task_count: int
 ) -> set[str]:
-    """Return the workers to reserve for tasks, those that lack the least room first.
+    """Return the ids of the workers to reserve, preferring those that lack least room.
 
-    A gang gets none if its tasks would not all fit even on empty workers.
+    Once advice was received, only workers that it granted are reserved. No worker is
+    reserved for a gang whose tasks would not all fit even on empty workers.
     """
     needed = step.specification.charged
     candidates = [
@@ -403,16 +405,14 @@
     candidates.sort(
         key=lambda worker: (needed - worker.free).dominant_share(worker.entry.capacity)
     )
-    selected: set[str] = set()
+    chosen: set[str] = set()
     fitting = 0
     for worker in candidates:
         if fitting >= task_count:
             break
         fitting += count_fitting_tasks(worker.entry.capacity, needed)
-        selected.add(worker.entry.worker_id)
-    return (
-        selected if fitting >= task_count or not step.specification.is_gang else set()
-    )
+        chosen.add(worker.entry.worker_id)
+    return chosen if fitting >= task_count or not step.specification.is_gang else set()
 
 
 def _gang_checkpoint(tasks: list[Task]) -> str:
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -1,7 +1,7 @@
 """Selects runs to preempt so that more urgent work gets room.
 
 Preemption serves bursts of urgent work on a full pool. Only runs that can resume from
-a checkpoint are preempted, since they lose no more than the time to restore it.
+a checkpoint are preempted: what such a run loses is the time to restore it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 MIN_RUN_AGE_S = 0.2
 """Age in seconds below which a run is not preempted.
 
-A younger run would be stopped after little more than restoring its checkpoint.
+Stopping a younger run would waste the time that it took to restore its checkpoint.
 """
 
 MIN_EXTRAPOLATION_PERCENT = 10
@@ -48,7 +48,7 @@
 
     @property
     def claimed_workers(self) -> set[str]:
-        """The ids of the workers on which room is claimed."""
+        """The ids of the workers on which room was claimed, even if released since."""
         return set(self._claimed)
 
     def claim_room(
@@ -108,6 +108,11 @@
             Priority of the work that may preempt runs; None for no preemption.
         horizon_s : float
             Time in seconds; runs that are expected to end within it count as ended.
+
+        Returns
+        -------
+        room : Resources
+            Free room, plus that of runs which are stopping, preemptible or ending soon.
         """
         key = (worker.entry.worker_id, priority, horizon_s)
         cached = self._attainable_room_cache.get(key)
@@ -126,7 +131,17 @@
     def release_room(
         self, worker: WorkerLedger, needed: Resources, victims: list[Run]
     ) -> None:
-        """Release the room and the runs of a claim."""
+        """Undo a claim, so that its room can be claimed again and no run is preempted.
+
+        Parameters
+        ----------
+        worker : WorkerLedger
+            The worker.
+        needed : Resources
+            The room that was claimed.
+        victims : list of Run
+            The runs that the claim chose to preempt.
+        """
         worker_id = worker.entry.worker_id
         self._claimed[worker_id] = self._claimed[worker_id] - needed
         for run in victims:
@@ -140,6 +155,7 @@
             for run in worker.runs.values()
             if run not in earlier_victims and self._is_preemptible(run, priority)
         ]
+        # Runs with the least progress are preempted first, and of these the youngest.
         candidates.sort(key=lambda run: (run.progress_percent, -run.started_s))
         return candidates
 
@@ -160,6 +176,13 @@
 def estimate_remaining_s(run: Run, now_s: float) -> float:
     """Return the remaining time of a run, extrapolated from its progress.
 
+    Parameters
+    ----------
+    run : Run
+        The run.
+    now_s : float
+        The time on the loop's clock.
+
     Returns
     -------
     remaining_s : float
@@ -175,7 +198,7 @@
 
 
 def _frees_scarce_resource(run: Run, needed: Resources, room: Resources) -> bool:
-    """Tell whether stopping a run frees a resource of which the room is too small."""
+    """Tell whether stopping a run frees a resource that the task still lacks."""
     charged = run.task.step.specification.charged
     return (
         (needed.cpu_millis > room.cpu_millis and charged.cpu_millis > 0)
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -33,10 +33,16 @@
 """
 
 STALL_TIMEOUT_S = 3.0
-"""Seconds without progress after which a run is stopped: three checkpoint intervals."""
+"""Seconds without progress after which a run that uses no processor is stopped.
+
+They are three checkpoint intervals.
+"""
 
 STOP_SETTLE_S = 0.4
-"""Seconds for which a worker may still report a run whose stop it acknowledged."""
+"""Seconds for which a worker may still report a run whose stop it acknowledged.
+
+A run that is missing from a report requested later than this counts as ended.
+"""
 
 TICKET_MARGIN_S = 0.15
 """Seconds by which a ticket is treated as expired before it is.
@@ -61,12 +67,12 @@
     """
 
     def bound_predecessor_leases(self, until_s: float) -> None:
-        """Bound the leases of workers that have not answered to this owner.
+        """Bound the leases of workers that have not answered this owner yet.
 
         Parameters
         ----------
         until_s : float
-            Time by which every run that a former owner started has ended, on the
+            Time by which every run that a previous owner started has ended, on the
             loop's clock.
         """
         for worker in self.workers.values():
@@ -121,7 +127,7 @@
             self._decide("worker_silent", "", worker=worker_id)
 
     def extend_lease(self, worker_id: str, ends_s: float) -> None:
-        """Extend a worker's lease, at whose end the worker ends all of its runs.
+        """Extend a worker's lease; the worker ends all of its runs when it lapses.
 
         Parameters
         ----------
@@ -196,9 +202,9 @@
         return self.take_orders()
 
     def mark_worker_replaced(self, worker_id: str) -> None:
-        """Mark a worker whose address another worker now answers at.
+        """Mark a worker as replaced: another worker answers at its address.
 
-        All runs on the replaced worker end.
+        All runs on the replaced worker count as ended.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -236,7 +242,7 @@
         granted_tickets: dict[str, str] | None,
         valid_s: float,
     ) -> None:
-        """Store the answer to a call for advice.
+        """Store the answer to an advice call.
 
         Parameters
         ----------
@@ -255,6 +261,7 @@
         step.is_asking = False
         now = self.clock.now()
         if granted_tickets is None:
+            # Advice is requested again after 0.1 s at the earliest.
             step.ask_not_before_s = now + 0.1
             return
         for worker_id in order.worker_ids:
@@ -273,10 +280,10 @@
         )
 
     def check_timeouts(self) -> list[Order]:
-        """Stop or end the runs whose time limits have passed.
+        """Act on leases that lapsed, runs that stalled and workers about to leave.
 
-        The runs of a silent worker end when its lease lapses. Runs are stopped on a
-        worker that is about to leave, and when they have stalled.
+        The runs of a silent worker count as ended once its lease has lapsed. Runs that
+        stalled or whose worker is about to leave are stopped.
 
         Returns
         -------
@@ -331,7 +338,9 @@
     def _adopt_run(
         self, worker: WorkerLedger, row: RunningRow, now: float
     ) -> Run | None:
-        """Count a run that an earlier owner started.
+        """Add a run that a previous owner started; stop it if it is not needed.
+
+        Runs of unknown jobs are stopped after `UNKNOWN_RUN_GRACE_S`.
 
         Returns
         -------
--- a/tests/load_jobs.py
+++ b/tests/load_jobs.py
@@ -65,12 +65,12 @@
         self._random = random
 
     def generate(self, kind: JobKind) -> SimulatedJob:
-        """Return a job of a kind that is not submitted yet."""
+        """Return a new job of a kind; `submitted_s` is set when it is submitted."""
         rng = self._random
         job_id = f"{rng.getrandbits(64):016x}"
         steps = []
         task_work_s: dict[TaskName, float] = {}
-        chain_s = 0.0
+        critical_path_s = 0.0
         core_seconds = 0.0
         step_count = max(1, round(rng.lognormvariate(math.log(kind.usual_steps), 0.4)))
         for index in range(step_count):
@@ -100,7 +100,7 @@
             longest_s = max(
                 task_work_s[TaskName(name, n)] for n in range(steps[-1].count)
             )
-            chain_s += longest_s * self._count_waves(kind, steps[-1])
+            critical_path_s += longest_s * self._count_waves(kind, steps[-1])
         is_poisoned = rng.random() < kind.poisoned_share
         poisoned_tasks = frozenset(
             [rng.choice(list(task_work_s))] if is_poisoned else []
@@ -117,7 +117,7 @@
         )
         specification = JobSpecification("text", tuple(steps))
         record = JobRecord(job_id, kind.queue.name, "workspace", 0.0, specification)
-        objective_s = kind.queue.stretch * chain_s + kind.queue.slack_s
+        objective_s = kind.queue.stretch * critical_path_s + kind.queue.slack_s
         return SimulatedJob(
             kind, record, 0.0, task_work_s, poisoned_tasks, objective_s, value
         )
--- a/tests/load_kinds.py
+++ b/tests/load_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of jobs and pools of workers, from the users' descriptions of their load."""
+"""Kinds of jobs and pools of workers of the Guild, one of the users' sites."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     usual_width : float
         Usual number of tasks of a step.
     cpu_millis : int
-        Processor time of a task, in thousandths of a core.
+        Processors that a task takes, in thousandths of a core.
     memory_mb : int
         Memory of a task, in MiB.
     accelerators : tuple of int
-        Numbers of accelerators, of which each step draws one for its tasks.
+        Possible numbers of accelerators per task; each step draws one of them.
     usual_steps : float
         Usual number of steps, which run in sequence.
     estimate_error : float
-        Standard deviation of the logarithm of estimate over duration.
+        Standard deviation of log(estimate / duration).
     estimate_bias : float
         By how much estimates are too low on average, as a logarithm.
     task_spread : float
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -1,8 +1,9 @@
 """Simulates the users' sites with seeded loads, workers and advice, without a network.
 
-Rates, widths, sizes and errors of estimates follow the Guild's description of its load.
-The value of a job follows the users' rules: a job earns its full value within its
-objective, a fifth of it within three times the objective, and nothing later.
+Rates, widths, sizes and errors of estimates follow the load description of the Guild,
+one of the users' sites. The value of a job follows the users' rules: a job that ends in
+the expected state, which is failed for a job with a poisoned task, earns its full value
+within its objective, a fifth of it within three times the objective, and nothing later.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 from tests.load_kinds import JobKind, Pool
 
 START_DELAY_S = 0.02
-"""Seconds to deliver an order to a worker, including the record of a start."""
+"""Seconds until an order takes effect on a worker; a start is stored first."""
 
 REPORT_INTERVAL_S = 0.8
 """Mean number of seconds between the reports of a worker on which no run ends."""
@@ -97,7 +98,7 @@
     jobs : int
         Number of submitted jobs.
     in_time : int
-        Number of jobs that ended within their objective.
+        Number of jobs that ended in the expected state within their objective.
     late : int
         Number of jobs that ended later and still earned a part of their value.
     total_value : float
@@ -123,7 +124,7 @@
 
     Parameters
     ----------
-    kinds : list of Kind
+    kinds : list of JobKind
         The kinds of jobs that are submitted.
     pools : list of Pool
         The pools of workers.
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -22,11 +22,11 @@
 )
 
 TICK_S = 0.05
-"""Seconds by which each step of a simulation advances the clock."""
+"""Seconds by which each iteration of a simulation advances the clock."""
 
 
 def simulate(
-    cell: Cell, arrivals: list[tuple[float, object]], until_s: float
+    cell: Cell, arrivals: list[tuple[float, object]], duration_s: float
 ) -> set[str]:
     """Simulate arrivals and return the ids of the jobs that met their objective."""
     start_s = cell.clock.now()
@@ -34,7 +34,7 @@
     started = 0
     met_jobs: set[str] = set()
     due_s_by_job = {}
-    while cell.clock.now() - start_s < until_s:
+    while cell.clock.now() - start_s < duration_s:
         now_s = cell.clock.now()
         while arrivals and start_s + arrivals[0][0] <= now_s:
             record = arrivals.pop(0)[1]
@@ -65,7 +65,7 @@
 
 
 def make_burst(count: int) -> list[tuple[float, object]]:
-    """Return arrivals of small and some large jobs, all within a second."""
+    """Return arrivals within a second; every 4th job has 16 tasks, the others 2."""
     jobs = []
     for number in range(count):
         width = 16 if number % 4 == 0 else 2
@@ -92,10 +92,7 @@
 
 
 def test_backlog_after_an_outage_still_meets_8_of_12_objectives():
-    """Submit the arrivals of 3 s at the rate of the pool all at once.
-
-    Serving the jobs strictly by due time would make nearly all of them late.
-    """
+    """Submit at once the work that the pool can run in 3 s."""
     backlog = [
         (0.0, make_record(number, make_step(4, 1000, estimated_s=1.0)))
         for number in range(12)
@@ -151,7 +148,7 @@
     ("target", "name", "replacement"),
     [
         (DurationModel, "observe", lambda *args: None),
-        (planning, "MAX_RENEWING_STEPS", 0),
+        (planning, "MAX_EARLY_ADVICE_STEPS", 0),
         (forecast, "WAVE_SHARE", 100.0),
     ],
     ids=["learned durations", "early tickets", "waves"],
@@ -159,7 +156,7 @@
 def test_full_pool_earns_more_value_with_each_feature(
     monkeypatch: pytest.MonkeyPatch, target: object, name: str, replacement: object
 ):
-    """Fill the Guild's imaging pool with jobs whose estimates are far off."""
+    """Fill the Guild's imaging pool; the estimates of its render jobs are far off."""
     earned_share = simulate_imaging_pool()
     monkeypatch.setattr(target, name, replacement)
     assert earned_share > simulate_imaging_pool()
--- a/tests/test_workflow_pacing.py
+++ b/tests/test_workflow_pacing.py
@@ -10,8 +10,8 @@
 def make_runs(load_ms: float) -> list[Run]:
     """Return a serving run with a latency target of 100 ms and a filler run."""
     serving = make_step(1, is_lasting=True, target_s=0.1)
-    steps = make_job(make_record(0, serving, make_step(1, is_filler=True))).tasks()
-    runs = [Run(task, "worker-0", 1, RunState.RUNNING, 0.0) for task in steps]
+    tasks = make_job(make_record(0, serving, make_step(1, is_filler=True))).tasks()
+    runs = [Run(task, "worker-0", 1, RunState.RUNNING, 0.0) for task in tasks]
     runs[0].load = load_ms
     return runs
 
--- a/tests/test_workflow_planning.py
+++ b/tests/test_workflow_planning.py
@@ -7,7 +7,7 @@
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.decision.workflow.messages import EndKind
-from fuchsiadale.decision.workflow.planning import MAX_RENEWING_STEPS
+from fuchsiadale.decision.workflow.planning import MAX_EARLY_ADVICE_STEPS
 from tests.workflow_builders import (
     ADVICE,
     LANES,
@@ -90,7 +90,9 @@
     [{}, {"is_checkpointing": True, "is_lasting": True}],
     ids=["no checkpoints", "lasting"],
 )
-def test_work_without_checkpoints_or_end_is_not_preempted(changes: dict[str, object]):
+def test_work_that_is_lasting_or_without_checkpoints_is_not_preempted(
+    changes: dict[str, object],
+):
     cell = make_cell(URGENT, BATCH)
     cell.scheduler.accept(make_record(0, make_step(4, **changes), queue="batch"), 0.0)
     cell.run_plan()
@@ -159,7 +161,7 @@
     assert len(cell.starts) == 5
 
 
-def test_step_with_max_per_worker_spreads_over_that_many_workers():
+def test_step_runs_at_most_max_per_worker_tasks_on_each_worker():
     cell = make_cell(workers=3)
     cell.scheduler.accept(make_record(0, make_step(6, 100, max_per_worker=1)), 0.0)
     cell.run_plan()
@@ -232,7 +234,7 @@
     assert len(cell.starts) == 4
 
 
-def test_non_preemptible_work_leaves_headroom_for_urgent_work():
+def test_work_without_checkpoints_leaves_headroom_for_urgent_work():
     cell = make_cell(URGENT, BATCH, workers=2)
     cell.scheduler.accept(make_record(0, make_step(8, 1000), queue="batch"), 0.0)
     cell.run_plan()
@@ -282,7 +284,7 @@
     cell.answer_advice()
     cell.run_plan()
     assert len(cell.starts) == 1
-    last = MAX_RENEWING_STEPS + 1
+    last = MAX_EARLY_ADVICE_STEPS + 1
     for number in range(1, last + 1):
         cell.scheduler.accept(make_record(number, make_step(1, 4000)), 0.0)
     asked = request_all_tickets(cell)
@@ -308,7 +310,7 @@
         cell.answer_advice()
 
 
-def test_requests_for_tickets_before_there_is_room_use_half_the_advice_calls():
+def test_requests_before_there_is_room_use_at_most_half_the_advice_calls():
     queue = make_queue(advice=ADVICE.__class__(0.5, 0.0, 2.0), stretch=30.0)
     cell = make_cell(queue)
     cell.scheduler.accept(make_record(0, make_step(1, 4000)), 0.0)
