--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -1,4 +1,4 @@
-"""State of a cell that every decision reads, and the orders it gives."""
+"""State of a cell that the scheduler's decisions share, and its pending orders."""
 
 from __future__ import annotations
 
@@ -14,28 +14,53 @@
     RunState,
     Step,
 )
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.limits import SubmissionRates, Usage
+from fuchsiadale.decision.workflow.limits import SubmissionRateLimiter, WorkspaceUsage
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
     Order,
+    RequestAdvice,
     StopRun,
 )
 from fuchsiadale.decision.workflow.names import StepName
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
-FORECAST_S = 0.2
-"""Seconds for which a forecast is used; durations and pools change slowly."""
+FORECAST_TTL_S = 0.2
+"""Seconds for which a forecast is reused; durations and pools change slowly."""
 
 
 class CellState:
-    """Jobs, workers and accounts of a cell.
+    """Jobs, workers, resource usage and pending orders of a cell.
 
     Parameters
     ----------
     clock : Clock
-        The loop's clock.
+        The event loop's clock.
     epoch : int
-        The owner's fencing token.
+        The owner's epoch, which is the fencing token of its orders.
+
+    Attributes
+    ----------
+    configuration : CellConfiguration
+        The current configuration.
+    jobs : dict of str to Job
+        Jobs that have not expired, by id.
+    workers : dict of str to TrackedWorker
+        Known workers, by id.
+    active_steps : dict of StepName to Step
+        Steps that are due and not done, and whose predecessors are done.
+    usage : WorkspaceUsage
+        Resources that each workspace uses.
+    durations : Durations
+        Estimates of task durations, learned from earlier runs.
+    unrecorded_jobs : set of str
+        Ids of the jobs whose progress has to be recorded.
+    retired_workers : set of str
+        Ids of removed workers that the store still lists.
+    expired_jobs : dict of str to Job
+        Expired jobs that the store still lists, by id.
+    decisions : DecisionLog
+        Decisions to log.
+    pending_advice_requests : int
+        Number of requests to the advice service that are not answered.
     """
 
     def __init__(self, clock: Clock, epoch: int) -> None:
@@ -43,72 +68,72 @@
         self.epoch = epoch
         self.configuration = CellConfiguration(0)
         self.jobs: dict[str, Job] = {}
-        self.workers: dict[str, WorkerLedger] = {}
-        self.live_steps: dict[StepName, Step] = {}
-        self.usage = Usage()
+        self.workers: dict[str, TrackedWorker] = {}
+        self.active_steps: dict[StepName, Step] = {}
+        self.usage = WorkspaceUsage()
         self.durations = DurationModel()
-        self.unrecorded: set[str] = set()
+        self.unrecorded_jobs: set[str] = set()
         self.retired_workers: set[str] = set()
         self.expired_jobs: dict[str, Job] = {}
         self.decisions = DecisionLog()
-        self.asking = 0
-        self._rates = SubmissionRates({})
+        self.pending_advice_requests = 0
+        self._rate_limiter = SubmissionRateLimiter({})
         self._orders: list[Order] = []
         self._forecast: Forecast | None = None
-        self._foretold_s = 0.0
+        self._forecast_made_s = 0.0
 
     def apply_configuration(self, configuration: CellConfiguration) -> None:
-        """Work under a newer configuration."""
+        """Replace the configuration if the given one is newer."""
         if configuration.version > self.configuration.version:
             self.configuration = configuration
             self._forecast = None
 
     def queue_of(self, job: Job) -> Queue | None:
-        """Return the queue of a job as it is configured now."""
+        """Return the queue of a job, or None if it is no longer configured."""
         return self.configuration.queue(job.record.queue)
 
     def limit_of(self, workspace: str) -> Resources:
-        """Return what a workspace may have running."""
+        """Return the resources that a workspace may use at once."""
         configured = self.configuration.workspace(workspace)
         return NO_LIMIT if configured is None else configured.limit
 
     def forecast(self) -> Forecast:
-        """Return what can be foretold, as it was known a moment ago at most."""
+        """Return a forecast of job durations, at most `FORECAST_TTL_S` seconds old."""
         now_s = self.clock.now()
-        if self._forecast is None or now_s - self._foretold_s > FORECAST_S:
+        if self._forecast is None or now_s - self._forecast_made_s > FORECAST_TTL_S:
             self._forecast = self._make_forecast()
-            self._foretold_s = now_s
+            self._forecast_made_s = now_s
         return self._forecast
 
     def _make_forecast(self) -> Forecast:
-        workers: dict[str, list[WorkerLedger]] = {}
+        workers: dict[str, list[TrackedWorker]] = {}
         for worker in self.workers.values():
             if worker.is_listed:
                 workers.setdefault(worker.entry.pool, []).append(worker)
         return Forecast(self.durations, workers, self.limit_of)
 
-    def order(self, order: Order) -> None:
-        """Give an order."""
-        if isinstance(order, AskAdvice):
-            self.asking += 1
+    def issue_order(self, order: Order) -> None:
+        """Append an order to the pending orders."""
+        if isinstance(order, RequestAdvice):
+            self.pending_advice_requests += 1
         self._orders.append(order)
 
-    def take_orders(self) -> list[Order]:
-        """Return the orders given since the last call."""
+    def pop_orders(self) -> list[Order]:
+        """Return and clear the pending orders."""
         orders = self._orders
         self._orders = []
         return orders
 
     def preempt(self, run: Run) -> None:
-        """Stop a run to make room for more urgent work."""
-        self._stop(run, "preempted")
+        """Stop a run to free its resources for more urgent work."""
+        self._stop_run(run, "preempted")
 
-    def _stop(self, run: Run, reason: str) -> None:
+    def _stop_run(self, run: Run, reason: str) -> None:
         if run.state in (RunState.STOPPING, RunState.UNCONFIRMED):
             return
         run.state = RunState.STOPPING
         self._orders.append(StopRun(run.worker_id, run.task.name, run.number, reason))
-        self._decide(
+        self._record_decision(
             "run_stopped",
             run.task.step.job.record.job_id,
             task=str(run.task.name),
@@ -117,5 +142,5 @@
             reason=reason,
         )
 
-    def _decide(self, kind: str, job_id: str, **inputs: object) -> None:
+    def _record_decision(self, kind: str, job_id: str, **inputs: object) -> None:
         self.decisions.add(Decision(kind, job_id, inputs))
--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -18,8 +18,8 @@
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.jobs import Job, Step
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
 from fuchsiadale.decision.workflow.placement import count_fitting_tasks
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 WAVE_SHARE = 0.25
 """Share of a pool that one wave of a step may take, by the contract with the users."""
@@ -57,7 +57,7 @@
     ----------
     durations : DurationModel
         The model that predicts the durations of tasks.
-    workers : dict of str to list of WorkerLedger
+    workers : dict of str to list of TrackedWorker
         The workers, by pool.
     limit_of : callable
         Returns the resources that a workspace may use at once.
@@ -66,7 +66,7 @@
     def __init__(
         self,
         durations: DurationModel,
-        workers: dict[str, list[WorkerLedger]],
+        workers: dict[str, list[TrackedWorker]],
         limit_of: Callable[[str], Resources],
     ) -> None:
         self._durations = durations
@@ -78,8 +78,8 @@
 
     def predict_task_s(self, step: Step) -> float:
         """Return the expected duration of a task of a step, in seconds."""
-        if step.ended_runs:
-            return step.ended_runs_s / step.ended_runs
+        if step.measured_runs:
+            return step.measured_runs_total_s / step.measured_runs
         predicted_s = self._predicted_task_s.get(step)
         if predicted_s is None:
             queue = step.job.record.queue
@@ -109,7 +109,7 @@
         cached = self._occurrence_forecasts.get(key)
         if cached is None or cached.done_tasks != job.done_tasks:
             total_s = self._critical_path_s(job, occurrence, queue, from_start=True)
-            begins_s = job.occurrence_begins_s(occurrence)
+            begins_s = job.occurrence_start_s(occurrence)
             cached = _OccurrenceForecast(
                 job.done_tasks,
                 begins_s + queue.stretch * total_s + queue.slack_s,
--- a/src/fuchsiadale/decision/workflow/job_book.py
+++ b/src/fuchsiadale/decision/workflow/job_tracker.py
@@ -1,4 +1,4 @@
-"""Takes jobs in, opens their steps and ends them."""
+"""Adds jobs, activates their steps and finishes them."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from fuchsiadale.decision.workflow.specification import JobRecord
 
 
-class JobBook(CellState):
-    """Keeps the jobs of a cell."""
+class JobTracker(CellState):
+    """Tracks the jobs of a cell from their acceptance until they expire."""
 
     def accept(self, record: JobRecord, now_unix_s: float) -> None:
-        """Take an accepted job in; a repeat changes nothing."""
+        """Add an accepted job; a job that is already known stays unchanged."""
         if record.job_id in self.jobs:
             return
         job = make_job(record)
-        self._admit(job, now_unix_s)
-        self._open_steps(job, now_unix_s)
+        self._add_job(job, now_unix_s)
+        self._activate_ready_steps(job, now_unix_s)
         queue = self.queue_of(job)
         specification = record.specification
-        self._decide(
+        self._record_decision(
             "job_accepted",
             record.job_id,
             queue=record.queue,
             workspace=record.workspace,
             priority=queue.priority if queue else None,
             tasks=[step.count for step in specification.steps],
-            chain_s=round(specification.chain_s, 3),
-            due_in_s=round(self._due_in_s(job), 3),
-            is_excess=job.is_excess,
+            chain_s=round(specification.critical_path_s, 3),
+            due_in_s=round(self._time_until_due_s(job), 3),
+            is_excess=job.exceeds_rate,
             is_filler=any(step.is_filler for step in specification.steps),
             target_s=max(step.target_s for step in specification.steps),
         )
@@ -42,32 +42,35 @@
     def recover(
         self, record: JobRecord, progress: JobProgress | None, now_unix_s: float
     ) -> None:
-        """Take a job in that an earlier owner may have begun."""
+        """Add a stored job that an earlier owner may have started."""
         job = make_job(record)
         if progress is not None:
             restore_progress(job, progress)
-        self._admit(job, now_unix_s)
+        self._add_job(job, now_unix_s)
         if job.state.is_final:
             job.ended_s = self.clock.now()
         else:
-            self._open_steps(job, now_unix_s)
+            self._activate_ready_steps(job, now_unix_s)
 
     def cancel(self, job_id: str) -> None:
-        """End a job on its caller's behalf."""
+        """Cancel a job at its caller's request."""
         job = self.jobs.get(job_id)
         if job is None or job.is_cancelled:
             return
         job.is_cancelled = True
         if not job.state.is_final:
-            self._finish(job, JobState.CANCELLED)
+            self._finish_job(job, JobState.CANCELLED)
 
     def expire_jobs(self, retention_s: float) -> None:
-        """Forget jobs whose final state was recorded some time ago.
+        """Remove jobs that ended longer ago than the retention time.
+
+        A job stays until its final state is recorded and none of its runs may be
+        present on a worker.
 
         Parameters
         ----------
         retention_s : float
-            Seconds for which callers can ask for the state of an ended job.
+            Seconds after a job's end in which callers can query its state.
         """
         now = self.clock.now()
         expired = [
@@ -83,7 +86,7 @@
             self.expired_jobs[job.record.job_id] = job
 
     def count_pending(self) -> dict[str, int]:
-        """Return how many accepted jobs of each queue have started nothing."""
+        """Return the number of accepted jobs without a started task, by queue."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if job.state is JobState.QUEUED:
@@ -91,13 +94,13 @@
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
-    def open_due_steps(self, now_unix_s: float) -> None:
-        """Make the occurrences ready that have become due."""
+    def activate_due_steps(self, now_unix_s: float) -> None:
+        """Activate steps of scheduled jobs whose occurrences have become due."""
         for job in self.jobs.values():
             if job.record.specification.schedule and not job.state.is_final:
-                self._open_steps(job, now_unix_s)
+                self._activate_ready_steps(job, now_unix_s)
 
-    def _admit(self, job: Job, now_unix_s: float) -> None:
+    def _add_job(self, job: Job, now_unix_s: float) -> None:
         record = job.record
         now = self.clock.now()
         age_s = now_unix_s - record.accepted_s
@@ -105,32 +108,34 @@
         job.arrived_s = now - age_s
         if workspace is not None:
             weight = workspace.weight
-            job.is_excess = self._rates.is_excess(record.workspace, weight, now)
+            job.exceeds_rate = self._rate_limiter.exceeds_rate(
+                record.workspace, weight, now
+            )
         self.jobs[record.job_id] = job
 
-    def _due_in_s(self, job: Job) -> float:
+    def _time_until_due_s(self, job: Job) -> float:
         queue = self.queue_of(job)
         if queue is None:
             return 0.0
         return self.forecast().due_s(job, 0, queue) - self.clock.now()
 
-    def _open_steps(self, job: Job, now_unix_s: float) -> None:
+    def _activate_ready_steps(self, job: Job, now_unix_s: float) -> None:
         schedule = job.record.specification.schedule
         for step in job.steps.values():
-            if step.name in self.live_steps or step.is_done:
+            if step.name in self.active_steps or step.is_done:
                 continue
             if schedule and now_unix_s < schedule.due_s(step.name.occurrence):
                 continue
             if job.predecessors_are_done(step):
-                self.live_steps[step.name] = step
+                self.active_steps[step.name] = step
 
-    def _finish(self, job: Job, state: JobState) -> None:
+    def _finish_job(self, job: Job, state: JobState) -> None:
         job.state = state
         job.ended_s = self.clock.now()
-        self.unrecorded.add(job.record.job_id)
+        self.unrecorded_jobs.add(job.record.job_id)
         for step in job.steps.values():
-            self.live_steps.pop(step.name, None)
+            self.active_steps.pop(step.name, None)
             for task in step.tasks:
                 for run in task.runs:
-                    self._stop(run, state.value)
-        self._decide("job_ended", job.record.job_id, state=state.value)
+                    self._stop_run(run, state.value)
+        self._record_decision("job_ended", job.record.job_id, state=state.value)
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -101,7 +101,7 @@
     """
     waiting = []
     for step in steps:
-        queue = queue_of(step.job) if step.waiting else None
+        queue = queue_of(step.job) if step.waiting_tasks else None
         if queue is not None:
             due_s = forecast.due_s(step.job, step.name.occurrence, queue)
             infeasible = is_infeasible(step, queue, forecast, now_s)
@@ -116,7 +116,7 @@
 ) -> tuple[bool, int, bool, bool, float, str]:
     job = waiting.step.job
     return (
-        job.is_excess,
+        job.exceeds_rate,
         waiting.queue.priority,
         waiting.is_infeasible,
         job.record.job_id in deferred,
@@ -135,7 +135,7 @@
     demands: dict[tuple[str, int], dict[str, Demand]] = {}
     for item in waiting:
         job, step, queue = item.step.job, item.step, item.queue
-        if item.is_infeasible or job.is_excess or step.specification.is_lasting:
+        if item.is_infeasible or job.exceeds_rate or step.specification.is_lasting:
             continue
         occurrence = step.name.occurrence
         group = demands.setdefault((queue.pool, queue.priority), {})
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -6,7 +6,7 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 EARLIER_FAILURE_PENALTY = 100.0
 """Penalty on a worker where the task failed before; outweighs all other penalties."""
@@ -18,7 +18,7 @@
 """Penalty outside the preferred rack; outweighs any difference in fit."""
 
 
-def is_suitable(step: Step, worker: WorkerLedger) -> bool:
+def is_suitable(step: Step, worker: TrackedWorker) -> bool:
     """Tell whether a worker, if empty, could run a task of a step."""
     requirements = step.specification
     if (
@@ -30,8 +30,8 @@
 
 
 def choose_worker(
-    task: Task, workers: Iterable[WorkerLedger], headroom_share: float = 0.0
-) -> WorkerLedger | None:
+    task: Task, workers: Iterable[TrackedWorker], headroom_share: float = 0.0
+) -> TrackedWorker | None:
     """Return the worker that fits a task best.
 
     Best fit leaves whole workers free for the tasks that need one.
@@ -40,7 +40,7 @@
     ----------
     task : Task
         The task to place.
-    workers : iterable of WorkerLedger
+    workers : iterable of TrackedWorker
         The workers that may run the task.
     headroom_share : float, default=0.0
         Share of a worker's processors and memory that must stay free, unless the
@@ -52,7 +52,7 @@
         The worker; None if no worker has room and keeps the headroom.
     """
     step = task.step
-    best: WorkerLedger | None = None
+    best: TrackedWorker | None = None
     best_score = float("inf")
     for worker in workers:
         if not _has_room(step, worker, worker.free, 0):
@@ -66,8 +66,8 @@
 
 
 def choose_gang_workers(
-    tasks: list[Task], workers: Iterable[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
+    tasks: list[Task], workers: Iterable[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
     """Return a worker for each task of a gang.
 
     If the tasks are slow when spread over racks, each single rack is tried first.
@@ -95,14 +95,14 @@
 
 
 def _place_all(
-    tasks: list[Task], workers: list[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
+    tasks: list[Task], workers: list[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
     step = tasks[0].step
     free: dict[str, Resources] = {
         worker.entry.worker_id: worker.free for worker in workers
     }
     placed_counts: dict[str, int] = {}
-    placements: list[tuple[Task, WorkerLedger]] = []
+    placements: list[tuple[Task, TrackedWorker]] = []
     for task in tasks:
         options = [
             worker
@@ -125,7 +125,7 @@
 
 
 def _has_room(
-    step: Step, worker: WorkerLedger, free: Resources, planned_here: int
+    step: Step, worker: TrackedWorker, free: Resources, planned_here: int
 ) -> bool:
     requirements = step.specification
     if not requirements.charged.fits_in(free):
@@ -133,11 +133,11 @@
     if not requirements.max_per_worker:
         return True
     name = step.name
-    running_here = worker.count_step(name.job_id, name.occurrence, name.step)
+    running_here = worker.count_step_runs(name.job_id, name.occurrence, name.step)
     return running_here + planned_here < requirements.max_per_worker
 
 
-def _leaves_headroom(step: Step, worker: WorkerLedger, share: float) -> bool:
+def _leaves_headroom(step: Step, worker: TrackedWorker, share: float) -> bool:
     if not worker.runs:
         return True
     remaining = worker.free - step.specification.charged
@@ -148,7 +148,7 @@
     )
 
 
-def _score(task: Task, worker: WorkerLedger) -> float:
+def _score(task: Task, worker: TrackedWorker) -> float:
     """Return the cost of placing a task on a worker; the lowest is best."""
     requirements = task.step.specification
     remaining = worker.free - requirements.charged
@@ -166,7 +166,7 @@
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
         score += INTERFERENCE_PENALTY
-    return score + worker.failure_score + worker.slowness
+    return score + worker.failure_score + worker.slowdown
 
 
 def _is_serving(task: Task) -> bool:
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -11,8 +11,7 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Run, Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.messages import AskAdvice, Order
+from fuchsiadale.decision.workflow.messages import Order, RequestAdvice
 from fuchsiadale.decision.workflow.ordering import WaitingStep, sort_waiting_steps
 from fuchsiadale.decision.workflow.placement import (
     choose_gang_workers,
@@ -22,6 +21,7 @@
 )
 from fuchsiadale.decision.workflow.preemption import Preemptor
 from fuchsiadale.decision.workflow.scheduler import Scheduler
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 MAX_ADVISED_WORKERS = 30
 """Workers named in one advice call; a longer call could make jobs miss objectives."""
@@ -35,7 +35,10 @@
 """
 
 PREEMPTION_RESERVATION_PRIORITY = -1
-"""Reservation priority of a worker with claimed room; queues come after it, from 0."""
+"""Priority under which a worker with claimed room is reserved.
+
+Lower is more urgent and queues start at 0, so the pass places nothing else there.
+"""
 
 EXPENSIVE_ADVICE_S = 0.1
 """Duration in seconds from which an advice call counts as expensive."""
@@ -61,47 +64,27 @@
 
 @define
 class _PlanState:
-    """State of one planning pass.
-
-    Attributes
-    ----------
-    now_s : float
-        The time of the pass, on the loop's clock.
-    max_advice_calls : int
-        Maximum number of concurrent advice calls.
-    usable_workers : dict of str to list of WorkerLedger
-        The workers that accept new tasks, by pool.
-    preemptor : Preemptor
-        Selects the runs to preempt.
-    reservations : dict of str to int
-        Priority of the work that a worker is reserved for, by worker.
-    reserving_steps : dict of str to int
-        Number of steps that have reserved workers, by pool.
-    unplaced_steps : dict of tuple of str and int to int
-        Number of steps that could place no task, by pool and priority.
-    early_advice_steps : dict of str to int
-        Number of steps considered for early advice calls, by pool.
-    """
+    """State of one planning pass."""
 
     now_s: float
     max_advice_calls: int
-    usable_workers: dict[str, list[WorkerLedger]]
+    usable_workers: dict[str, list[TrackedWorker]]
     preemptor: Preemptor
-    reservations: dict[str, int] = Factory(dict)
-    reserving_steps: dict[str, int] = Factory(dict)
-    unplaced_steps: dict[tuple[str, int], int] = Factory(dict)
-    early_advice_steps: dict[str, int] = Factory(dict)
+    reservations: dict[str, int] = Factory(dict)  # priority it is for, by worker
+    reserving_steps: dict[str, int] = Factory(dict)  # number by pool
+    unplaced_steps: dict[tuple[str, int], int] = Factory(dict)  # pool, priority
+    early_advice_steps: dict[str, int] = Factory(dict)  # number by pool
 
-    def is_reserved_against(self, worker: WorkerLedger, priority: int) -> bool:
+    def is_reserved_against(self, worker: TrackedWorker, priority: int) -> bool:
         """Tell whether a worker is reserved for work more urgent than `priority`."""
         return self.reservations.get(worker.entry.worker_id, priority) < priority
 
     def admit_early_advice(self, waiting: WaitingStep) -> bool:
         """Tell whether a step is among the first of its pool in planning order.
 
-        Infeasible steps and steps of excess jobs are neither admitted nor counted.
+        Steps of infeasible jobs and of jobs beyond their submission rate do not count.
         """
-        if waiting.is_infeasible or waiting.step.job.is_excess:
+        if waiting.is_infeasible or waiting.step.job.exceeds_rate:
             return False
         pool = waiting.queue.pool
         self.early_advice_steps[pool] = self.early_advice_steps.get(pool, 0) + 1
@@ -135,23 +118,23 @@
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
-        usable_workers: dict[str, list[WorkerLedger]] = {}
+        usable_workers: dict[str, list[TrackedWorker]] = {}
         for worker in scheduler.workers.values():
             if worker.is_usable(now_s):
                 usable_workers.setdefault(worker.entry.pool, []).append(worker)
         preemptor = Preemptor(scheduler.queue_of, now_s)
         state = _PlanState(now_s, max_advice_calls, usable_workers, preemptor)
-        steps = scheduler.live_steps.values()
+        steps = scheduler.active_steps.values()
         forecast = scheduler.forecast()
         for waiting in sort_waiting_steps(steps, scheduler.queue_of, forecast, now_s):
             group = (waiting.queue.pool, waiting.queue.priority)
             if state.unplaced_steps.get(group, 0) >= MAX_UNPLACED_STEPS:
                 continue
-            waiting_before = len(waiting.step.waiting)
+            waiting_before = len(waiting.step.waiting_tasks)
             self._plan_step(waiting, state)
-            if len(waiting.step.waiting) == waiting_before:
+            if len(waiting.step.waiting_tasks) == waiting_before:
                 state.unplaced_steps[group] = state.unplaced_steps.get(group, 0) + 1
-        return scheduler.take_orders()
+        return scheduler.pop_orders()
 
     def _plan_step(self, waiting: WaitingStep, state: _PlanState) -> None:
         step = waiting.step
@@ -167,32 +150,34 @@
             self._plan_tasks(waiting, workers, state)
 
     def _plan_tasks(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], state: _PlanState
+        self, waiting: WaitingStep, workers: list[TrackedWorker], state: _PlanState
     ) -> None:
         step = waiting.step
         allowed = _workers_with_tickets(waiting, workers, state.now_s)
         headroom_share = _required_headroom_share(waiting)
-        for task in list(step.waiting.values()):
+        for task in list(step.waiting_tasks.values()):
             if not self._is_within_limit(step, 1):
                 return
             worker = choose_worker(task, allowed, headroom_share)
             if worker is None:
                 break
-            self._scheduler.place(task, worker, self._scheduler.next_run([task]))
-        if not step.waiting:
+            self._scheduler.place_task(
+                task, worker, self._scheduler.next_run_number([task])
+            )
+        if not step.waiting_tasks:
             return
         if allowed and not waiting.is_infeasible:
-            self._preempt_runs(waiting, allowed, len(step.waiting), state)
+            self._preempt_runs(waiting, allowed, len(step.waiting_tasks), state)
         if waiting.queue.advice is not None:
             self._request_advice(waiting, workers, 1, state)
         if not waiting.is_infeasible and _has_large_tasks(step, workers):
             self._reserve_workers(waiting, workers, 1, state)
 
     def _plan_gang(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], state: _PlanState
+        self, waiting: WaitingStep, workers: list[TrackedWorker], state: _PlanState
     ) -> None:
         step = waiting.step
-        if len(step.waiting) < len(step.tasks):
+        if len(step.waiting_tasks) < len(step.tasks):
             return
         if not self._is_within_limit(step, len(step.tasks)):
             return
@@ -212,7 +197,7 @@
     def _reserve_workers(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
+        workers: list[TrackedWorker],
         task_count: int,
         state: _PlanState,
     ) -> None:
@@ -226,18 +211,18 @@
                 state.reservations.setdefault(worker_id, priority)
 
     def _start_gang(
-        self, step: Step, placements: list[tuple[Task, WorkerLedger]]
+        self, step: Step, placements: list[tuple[Task, TrackedWorker]]
     ) -> None:
-        number = self._scheduler.next_run(step.tasks)
+        number = self._scheduler.next_run_number(step.tasks)
         checkpoint = _gang_checkpoint(step.tasks)
         for task, worker in placements:
             task.checkpoint = checkpoint
-            self._scheduler.place(task, worker, number)
+            self._scheduler.place_task(task, worker, number)
 
     def _preempt_runs(
         self,
         waiting: WaitingStep,
-        allowed: list[WorkerLedger],
+        allowed: list[TrackedWorker],
         task_count: int,
         state: _PlanState,
     ) -> bool:
@@ -253,7 +238,7 @@
         step = waiting.step
         needed = step.specification.charged
         priority = waiting.queue.priority
-        claims: list[tuple[WorkerLedger, list[Run]]] = []
+        claims: list[tuple[TrackedWorker, list[Run]]] = []
         for _ in range(task_count):
             claim = _claim_cheapest_room(state.preemptor, allowed, needed, priority)
             if claim is None:
@@ -273,50 +258,61 @@
     def _request_advice(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
+        workers: list[TrackedWorker],
         task_count: int,
         state: _PlanState,
     ) -> None:
         """Request tickets for workers that have or can get room for tasks of a step."""
         scheduler = self._scheduler
         step, advice = waiting.step, waiting.queue.advice
-        if advice is None or step.is_asking or state.now_s < step.ask_not_before_s:
+        if (
+            advice is None
+            or step.is_awaiting_advice
+            or state.now_s < step.next_advice_request_s
+        ):
             return
         needed = step.specification.charged
         priority = None if waiting.is_infeasible else waiting.queue.priority
         asks_early = state.admit_early_advice(waiting)
         asks_early = (
-            asks_early and scheduler.asking < EARLY_CALL_SHARE * state.max_advice_calls
+            asks_early
+            and scheduler.pending_advice_requests
+            < EARLY_CALL_SHARE * state.max_advice_calls
         )
-        renewal_threshold_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
+        renewal_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
         total_fitting = 0
         candidates: list[tuple[int, str]] = []
         for worker in workers:
             worker_id = worker.entry.worker_id
-            if step.advised.get(worker_id) is False:
+            if step.advice_by_worker.get(worker_id) is False:
                 continue
             room = state.preemptor.find_attainable_room(worker, priority, advice.base_s)
             fitting = count_fitting_tasks(room, needed)
-            if step.has_ticket(worker_id, state.now_s):
-                # Only gangs may still need this room: single tasks are placed first.
+            if step.has_valid_ticket(worker_id, state.now_s):
+                # A gang also uses the workers that it has tickets for; a single task
+                # would have been placed there already.
                 total_fitting += fitting if task_count > 1 else 0
-                if asks_early and not step.has_ticket(worker_id, renewal_threshold_s):
+                if asks_early and not step.has_valid_ticket(worker_id, renewal_s):
                     candidates.append((-fitting, worker_id))
                 continue
             total_fitting += fitting
-            is_granted = step.advised.get(worker_id, False)
-            if fitting or worker_id not in step.advised or (asks_early and is_granted):
+            is_granted = step.advice_by_worker.get(worker_id, False)
+            if (
+                fitting
+                or worker_id not in step.advice_by_worker
+                or (asks_early and is_granted)
+            ):
                 candidates.append((-fitting, worker_id))
         if (total_fitting < task_count and not asks_early) or not candidates:
             return
         candidates.sort()
         chosen = tuple(worker_id for _, worker_id in candidates[:MAX_ADVISED_WORKERS])
-        cost_s = advice.cost_s(len(chosen))
-        kept_calls = CALLS_KEPT_FOR_CHEAP_ADVICE if cost_s >= EXPENSIVE_ADVICE_S else 0
-        if scheduler.asking >= max(1, state.max_advice_calls - kept_calls):
+        duration_s = advice.call_duration_s(len(chosen))
+        kept = CALLS_KEPT_FOR_CHEAP_ADVICE if duration_s >= EXPENSIVE_ADVICE_S else 0
+        if scheduler.pending_advice_requests >= max(1, state.max_advice_calls - kept):
             return
-        step.is_asking = True
-        scheduler.order(AskAdvice(step.name, chosen, cost_s))
+        step.is_awaiting_advice = True
+        scheduler.issue_order(RequestAdvice(step.name, chosen, duration_s))
 
     def _is_within_limit(self, step: Step, task_count: int) -> bool:
         workspace = step.job.record.workspace
@@ -326,15 +322,15 @@
 
 
 def _workers_with_tickets(
-    waiting: WaitingStep, workers: list[WorkerLedger], now_s: float
-) -> list[WorkerLedger]:
+    waiting: WaitingStep, workers: list[TrackedWorker], now_s: float
+) -> list[TrackedWorker]:
     """Return the workers that advice permits to run tasks of a step now."""
     if waiting.queue.advice is None:
         return workers
     return [
         worker
         for worker in workers
-        if waiting.step.has_ticket(worker.entry.worker_id, now_s)
+        if waiting.step.has_valid_ticket(worker.entry.worker_id, now_s)
     ]
 
 
@@ -358,12 +354,12 @@
 
 def _claim_cheapest_room(
     preemptor: Preemptor,
-    workers: Iterable[WorkerLedger],
+    workers: Iterable[TrackedWorker],
     needed: Resources,
     priority: int,
-) -> tuple[WorkerLedger, list[Run]] | None:
+) -> tuple[TrackedWorker, list[Run]] | None:
     """Claim room where it takes the fewest preemptions; None if no worker has room."""
-    best: tuple[WorkerLedger, list[Run]] | None = None
+    best: tuple[TrackedWorker, list[Run]] | None = None
     for worker in workers:
         victims = preemptor.claim_room(worker, needed, priority)
         if victims is None:
@@ -379,7 +375,7 @@
     return best
 
 
-def _has_large_tasks(step: Step, workers: list[WorkerLedger]) -> bool:
+def _has_large_tasks(step: Step, workers: list[TrackedWorker]) -> bool:
     """Tell whether a task of a step is large for every worker that could run it."""
     charged = step.specification.charged
     return bool(workers) and all(
@@ -389,7 +385,7 @@
 
 
 def _workers_to_reserve(
-    step: Step, workers: list[WorkerLedger], task_count: int
+    step: Step, workers: list[TrackedWorker], task_count: int
 ) -> set[str]:
     """Return the ids of the workers to reserve, preferring those that lack least room.
 
@@ -400,7 +396,7 @@
     candidates = [
         worker
         for worker in workers
-        if step.advised.get(worker.entry.worker_id, not step.advised)
+        if step.advice_by_worker.get(worker.entry.worker_id, not step.advice_by_worker)
     ]
     candidates.sort(
         key=lambda worker: (needed - worker.free).dominant_share(worker.entry.capacity)
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -11,7 +11,7 @@
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.jobs import Job, Run, RunState
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 NEARLY_DONE_PERCENT = 85
 """Progress in percent from which a run is left to end by itself."""
@@ -52,7 +52,7 @@
         return set(self._claimed)
 
     def claim_room(
-        self, worker: WorkerLedger, needed: Resources, priority: int
+        self, worker: TrackedWorker, needed: Resources, priority: int
     ) -> list[Run] | None:
         """Claim room for a task on a worker.
 
@@ -93,7 +93,7 @@
         return victims
 
     def find_attainable_room(
-        self, worker: WorkerLedger, priority: int | None, horizon_s: float
+        self, worker: TrackedWorker, priority: int | None, horizon_s: float
     ) -> Resources:
         """Return the room that a worker can offer within some time.
 
@@ -102,7 +102,7 @@
 
         Parameters
         ----------
-        worker : WorkerLedger
+        worker : TrackedWorker
             The worker.
         priority : int or None
             Priority of the work that may preempt runs; None for no preemption.
@@ -129,7 +129,7 @@
         return room
 
     def release_room(
-        self, worker: WorkerLedger, needed: Resources, victims: list[Run]
+        self, worker: TrackedWorker, needed: Resources, victims: list[Run]
     ) -> None:
         """Undo a claim, so that its room can be claimed again and no run is preempted.
 
@@ -148,7 +148,7 @@
             self._victims[worker_id].remove(run)
 
     def _list_preemptible_runs(
-        self, worker: WorkerLedger, priority: int, earlier_victims: list[Run]
+        self, worker: TrackedWorker, priority: int, earlier_victims: list[Run]
     ) -> Iterable[Run]:
         candidates = [
             run
@@ -193,7 +193,7 @@
     is_lasting = run.task.step.specification.is_lasting
     if is_lasting or percent < MIN_EXTRAPOLATION_PERCENT or run.confirmed_s is None:
         return float("inf")
-    total_s = (run.progressed_s - run.confirmed_s) * FULL_PERCENT / percent
+    total_s = (run.last_progress_s - run.confirmed_s) * FULL_PERCENT / percent
     return max(0.0, run.confirmed_s + total_s - now_s)
 
 
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -23,11 +23,11 @@
 )
 from fuchsiadale.decision.workflow.jobs import JobState
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
-    EndedRow,
     EndKind,
     Order,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
+    RequestAdvice,
     StartOutcome,
     StartRun,
     StopRun,
@@ -85,7 +85,7 @@
 class _SimulatedWorker:
     entry: WorkerEntry
     runs: dict[tuple[TaskName, int], _SimulatedRun] = Factory(dict)
-    ends: list[EndedRow] = Factory(list)
+    ends: list[ReportedEnd] = Factory(list)
     last_end: int = 0
 
 
@@ -263,13 +263,13 @@
     def _plan(self) -> None:
         self._is_plan_pending = False
         self._carry_out(self.planner.plan(self.max_advice_calls))
-        self.scheduler.decisions.take()
+        self.scheduler.decisions.pop_all()
 
     def _send_report(self, worker_id: str) -> None:
         worker = self.workers[worker_id]
         now_s = self.clock.now()
         rows = tuple(
-            RunningRow(
+            ReportedRun(
                 run.task,
                 run.run,
                 self._checkpoint(run, now_s),
@@ -285,11 +285,11 @@
         self._plan_soon()
 
     def _record_final_states(self) -> None:
-        for job_id in self.scheduler.unrecorded:
+        for job_id in self.scheduler.unrecorded_jobs:
             job = self.scheduler.jobs[job_id]
             if job.state.is_final:
                 self.final_states.setdefault(job_id, (job.state, self.clock.now()))
-        self.scheduler.unrecorded.clear()
+        self.scheduler.unrecorded_jobs.clear()
 
     # Orders
 
@@ -299,16 +299,16 @@
                 self._schedule_after(START_DELAY_S, self._make_start(order))
             elif isinstance(order, StopRun):
                 self._schedule_after(START_DELAY_S, self._make_stop(order))
-            elif isinstance(order, AskAdvice):
+            elif isinstance(order, RequestAdvice):
                 self._answer_advice(order)
 
     def _make_start(self, order: StartRun) -> Callable[[], None]:
         def start() -> None:
-            if not self.scheduler.is_wanted(order):
+            if not self.scheduler.is_start_needed(order):
                 return
-            if self.scheduler.has_expired(order):
+            if self.scheduler.has_ticket_expired(order):
                 refused = StartOutcome.TICKET_REFUSED
-                self._carry_out(self.scheduler.note_start(order, refused))
+                self._carry_out(self.scheduler.note_start_outcome(order, refused))
                 return
             job = self.submitted[order.task.step.job_id]
             now_s = self.clock.now()
@@ -320,7 +320,9 @@
             run = _SimulatedRun(order.task, order.run, work_s, begins_s, done_s, fails)
             worker = self.workers[order.worker_id]
             worker.runs[order.task, order.run] = run
-            self._carry_out(self.scheduler.note_start(order, StartOutcome.STARTED))
+            self._carry_out(
+                self.scheduler.note_start_outcome(order, StartOutcome.STARTED)
+            )
             left_s = (begins_s - now_s) + (work_s - done_s) * (0.5 if fails else 1.0)
             kind = EndKind.FAILED if fails else EndKind.DONE
             self._schedule_after(
@@ -332,7 +334,7 @@
     def _make_stop(self, order: StopRun) -> Callable[[], None]:
         def stop() -> None:
             run = self.workers[order.worker_id].runs.get((order.task, order.run))
-            self.scheduler.note_stopped(order)
+            self.scheduler.note_stop_acknowledged(order)
             if run is not None:
                 self._end_run(order.worker_id, run, EndKind.STOPPED)
 
@@ -348,7 +350,7 @@
             if not checkpoint:
                 self.wasted_s += run.done_work_s(self.clock.now())
         worker.last_end += 1
-        row = EndedRow(worker.last_end, run.task, run.run, kind, checkpoint)
+        row = ReportedEnd(worker.last_end, run.task, run.run, kind, checkpoint)
         worker.ends.append(row)
         self._send_report(worker_id)
 
@@ -363,7 +365,7 @@
         saved_s = done_s if is_stop else math.floor(done_s / CHECKPOINT_INTERVAL_S)
         return repr(saved_s) if saved_s > 0.0 else ""
 
-    def _answer_advice(self, order: AskAdvice) -> None:
+    def _answer_advice(self, order: RequestAdvice) -> None:
         self._open_advice_calls += 1
         is_served = self._open_advice_calls <= self.max_advice_calls
 
@@ -379,7 +381,7 @@
             self.scheduler.process_advice(order, outcome, valid_s)
             self._plan_soon()
 
-        self._schedule_after(order.cost_s if is_served else 0.0, answer)
+        self._schedule_after(order.expected_duration_s if is_served else 0.0, answer)
 
     def _may_run(self, step: StepName, worker_id: str) -> bool:
         """Tell whether a step may run on a worker; it always may on at least one."""
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -44,7 +44,7 @@
             assert queue is not None
             cell_forecast = cell.scheduler.forecast()
             due_s_by_job[job.record.job_id] = cell_forecast.due_s(job, 0, queue)
-        cell.run_plan()
+        cell.plan_and_execute()
         for order in cell.starts[started:]:
             job = cell.scheduler.jobs[order.task.step.job_id]
             step = job.record.specification.steps[order.task.step.step]
@@ -54,8 +54,8 @@
         while end_queue and end_queue[0][0] <= now_s:
             _, _, worker_id, task, run = heappop(end_queue)
             if (task, run) in cell.running[worker_id]:
-                cell.end(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
-        cell.look_at_all()
+                cell.end_run(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
+        cell.poll_all()
         for job_id, job in cell.scheduler.jobs.items():
             ended_s = job.ended_s
             if ended_s is not None and ended_s <= due_s_by_job[job_id]:
@@ -77,7 +77,7 @@
 def make_loaded_cell() -> Cell:
     configuration = make_configuration(make_queue(stretch=2.0, slack_s=0.5))
     cell = Cell(4, configuration)
-    cell.adopt()
+    cell.adopt_workers()
     return cell
 
 
@@ -118,11 +118,11 @@
     cell = make_loaded_cell()
     for number in range(200):
         cell.scheduler.accept(make_record(number, make_step(8, 2000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     tried = []
     plan_step = cell.planner._plan_step
     cell.planner._plan_step = lambda *args: tried.append(1) or plan_step(*args)  # type: ignore[method-assign,func-returns-value]
-    cell.run_plan()
+    cell.plan_and_execute()
     assert len(tried) == MAX_UNPLACED_STEPS
 
 
