--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -49,7 +49,7 @@
         Steps that are due and not done, and whose predecessors are done.
     usage : WorkspaceUsage
         Resources that each workspace uses.
-    durations : Durations
+    durations : DurationModel
         Estimates of task durations, learned from earlier runs.
     unrecorded_jobs : set of str
         Ids of the jobs whose progress has to be recorded.
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -48,7 +48,7 @@
 
     Returns
     -------
-    best : WorkerLedger or None
+    best : TrackedWorker or None
         The worker; None if no worker has room and keeps the headroom.
     """
     step = task.step
@@ -76,12 +76,12 @@
     ----------
     tasks : list of Task
         All tasks of the gang.
-    workers : iterable of WorkerLedger
+    workers : iterable of TrackedWorker
         The workers that may run the tasks.
 
     Returns
     -------
-    placements : list of tuple of Task and WorkerLedger, or None
+    placements : list of tuple of Task and TrackedWorker, or None
         The tasks with their workers; None if the tasks do not all fit at once.
     """
     candidates = list(workers)
--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -58,7 +58,7 @@
 
         Parameters
         ----------
-        worker : WorkerLedger
+        worker : TrackedWorker
             The worker.
         needed : Resources
             The room that the task takes.
@@ -135,7 +135,7 @@
 
         Parameters
         ----------
-        worker : WorkerLedger
+        worker : TrackedWorker
             The worker.
         needed : Resources
             The room that was claimed.
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -246,7 +246,7 @@
 
         Parameters
         ----------
-        order : AskAdvice
+        order : RequestAdvice
             The call, with the workers that it named.
         granted_tickets : dict of str to str or None
             A ticket for each worker that may run the step, by worker; None if the
--- a/tests/load_world.py
+++ b/tests/load_world.py
@@ -131,7 +131,7 @@
     seed : int
         Seed of all random draws.
     max_advice_calls : int
-        Maximum number of concurrent calls for advice.
+        Maximum number of concurrent advice calls.
     rate_factor : callable
         Returns the factor on a kind's rate of arrivals at a time, in seconds from the
         start.
--- a/tests/test_workflow_forecast.py
+++ b/tests/test_workflow_forecast.py
@@ -98,5 +98,5 @@
     cell.end_run("worker-0", task, run)
     cell.poll_all()
     job = cell.scheduler.jobs[make_record().job_id]
-    step_s = cell.scheduler.forecast().predict_task_s(job.steps[0, 0])
-    assert step_s == pytest.approx(6.0, abs=0.1)
+    task_s = cell.scheduler.forecast().predict_task_s(job.steps[0, 0])
+    assert task_s == pytest.approx(6.0, abs=0.1)
--- a/tests/test_workflow_planning.py
+++ b/tests/test_workflow_planning.py
@@ -1,4 +1,4 @@
-"""Tests of the planner: starts, preemptions and calls for advice."""
+"""Tests of the planner: starts, preemptions and advice calls."""
 
 from __future__ import annotations
 
