--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -212,7 +212,7 @@
     def note_predecessor_gone(self) -> None:
         """Note that the former owner has surely stopped giving orders."""
         until_s = LoopClock().now() + self._predecessor_lease_s
-        self._scheduler.bound_predecessor_leases(until_s)
+        self._scheduler.bound_previous_owner_leases(until_s)
 
     def take_row(self, key: str, value: bytes) -> None:
         """Take a stored row of the job table in, also ahead of the watch."""
--- a/src/fuchsiadale/decision/workflow/durations.py
+++ b/src/fuchsiadale/decision/workflow/durations.py
@@ -14,7 +14,10 @@
 from attrs import define
 
 PRIOR_WEIGHT = 2.0
-"""Weight of the prior that estimates are right, in number of observed steps."""
+"""Weight of the prior that estimates are right, in number of observed steps.
+
+It is also the ridge penalty on the slope of the regression.
+"""
 
 MAX_WEIGHT = 60.0
 """Maximum total weight of past observations, in number of steps.
--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -50,7 +50,7 @@
 """Steps per pool that get and renew tickets before there is room for them."""
 
 EARLY_CALL_SHARE = 0.5
-"""Share of advice calls; once as many are open, no step without room makes a call."""
+"""Share of the maximum; once as many calls are open, steps without room make none."""
 
 RENEWAL_MARGIN_S = 0.1
 """Seconds by which a renewal should arrive before the present ticket expires."""
@@ -279,7 +279,7 @@
             and scheduler.pending_advice_requests
             < EARLY_CALL_SHARE * state.max_advice_calls
         )
-        renewal_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
+        renew_before_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
         total_fitting = 0
         candidates: list[tuple[int, str]] = []
         for worker in workers:
@@ -292,7 +292,7 @@
                 # A gang also uses the workers that it has tickets for; a single task
                 # would have been placed there already.
                 total_fitting += fitting if task_count > 1 else 0
-                if asks_early and not step.has_valid_ticket(worker_id, renewal_s):
+                if asks_early and not step.has_valid_ticket(worker_id, renew_before_s):
                     candidates.append((-fitting, worker_id))
                 continue
             total_fitting += fitting
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -35,7 +35,7 @@
 STALL_TIMEOUT_S = 3.0
 """Seconds without progress after which a run that uses no processor is stopped.
 
-They are three checkpoint intervals.
+The time is that of three checkpoint intervals.
 """
 
 STOP_SETTLE_S = 0.4
@@ -66,7 +66,7 @@
     methods return.
     """
 
-    def bound_predecessor_leases(self, until_s: float) -> None:
+    def bound_previous_owner_leases(self, until_s: float) -> None:
         """Bound the leases of workers that have not answered this owner yet.
 
         Parameters
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -28,7 +28,22 @@
 def simulate(
     cell: Cell, arrivals: list[tuple[float, object]], duration_s: float
 ) -> set[str]:
-    """Simulate arrivals and return the ids of the jobs that met their objective."""
+    """Simulate arrivals and return the jobs that met their objective.
+
+    Parameters
+    ----------
+    cell : Cell
+        The cell that runs the jobs.
+    arrivals : list of tuple of float and JobRecord
+        Seconds until each job is submitted, in order, and the job; it is emptied.
+    duration_s : float
+        Simulated time, in seconds.
+
+    Returns
+    -------
+    met_jobs : set of str
+        The ids of the jobs.
+    """
     start_s = cell.clock.now()
     end_queue: list[tuple[float, int, str, object, int]] = []
     started = 0
@@ -127,6 +142,7 @@
 
 
 SIMULATION_SEEDS = range(10)
+"""Seeds of the simulations whose values are added up."""
 
 SIMULATED_S = 30.0
 """Seconds for which a simulation submits jobs."""
