--- a/src/fuchsiadale/decision/workflow/cell_state.py
+++ b/src/fuchsiadale/decision/workflow/cell_state.py
@@ -6,7 +6,7 @@
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import CellConfiguration, Queue
 from fuchsiadale.decision.workflow.decisions import Decision, DecisionLog
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.forecast import Forecast
 from fuchsiadale.decision.workflow.jobs import (
     Job,
@@ -49,7 +49,7 @@
         Steps that are due and not done, and whose predecessors are done.
     usage : WorkspaceUsage
         Resources that each workspace may be using.
-    durations : Durations
+    durations : DurationModel
         Estimates of task durations, learned from earlier runs.
     unrecorded_jobs : set of str
         Ids of the jobs whose progress has to be recorded.
@@ -71,7 +71,7 @@
         self.workers: dict[str, TrackedWorker] = {}
         self.active_steps: dict[StepName, Step] = {}
         self.usage = WorkspaceUsage()
-        self.durations = Durations()
+        self.durations = DurationModel()
         self.unrecorded_jobs: set[str] = set()
         self.retired_workers: set[str] = set()
         self.expired_jobs: dict[str, Job] = {}
--- a/src/fuchsiadale/decision/workflow/ordering.py
+++ b/src/fuchsiadale/decision/workflow/ordering.py
@@ -1,8 +1,10 @@
-"""The order in which waiting steps are served.
+"""Sorts waiting steps into the order in which they are served.
 
-Answers a pool that is asked for more than it can do: urgent queues first, then jobs
-that can still meet their objective, and among them the one whose objective lapses
-first; jobs beyond their workspace's rate come last.
+The order matters on an overloaded pool. Jobs beyond the submission rate of their
+workspace come last, whatever their priority. The others are ordered by the priority of
+their queue. Within a priority, jobs that can still meet their objective precede those
+that cannot, deferred jobs (see `triage`) follow the other feasible ones, and then the
+earliest deadline comes first.
 """
 
 from __future__ import annotations
@@ -14,105 +16,137 @@
 from fuchsiadale.decision.workflow.configuration import Queue
 from fuchsiadale.decision.workflow.forecast import Forecast
 from fuchsiadale.decision.workflow.jobs import Job, Step
-from fuchsiadale.decision.workflow.triage import Demand, jobs_to_defer
+from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 
-ESTIMATE_TRUST = 0.7
-"""Share of an estimate that work surely takes: callers are off by half on average."""
+LEAST_DURATION_SHARE = 0.7
+"""Share of an expected duration that remaining work is assumed to take at the least.
+
+Callers' estimates are off by half on average.
+"""
 
 
 @frozen
 class WaitingStep:
-    """A step with waiting tasks, in its place of the order.
+    """A step with waiting tasks, and what its place in the order depends on.
 
     Attributes
     ----------
     step : Step
         The step.
     queue : Queue
-        Its queue.
+        The queue of its job.
     due_s : float
-        When its job's objective lapses, on the loop's clock.
-    is_hopeless : bool
-        Whether its job cannot meet its objective any more.
+        Deadline of its job by the objective, on the loop's clock.
+    is_infeasible : bool
+        Whether its job can no longer meet its objective.
     """
 
     step: Step
     queue: Queue
     due_s: float
-    is_hopeless: bool
+    is_infeasible: bool
+
+
+def is_infeasible(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
+    """Tell whether the job of a step can no longer meet its objective.
 
+    Parameters
+    ----------
+    step : Step
+        The step; a lasting one is never infeasible.
+    queue : Queue
+        The queue of the job.
+    forecast : Forecast
+        Predicts the remaining time and the deadline of the job.
+    now_s : float
+        The time on the loop's clock.
 
-def is_hopeless(step: Step, queue: Queue, forecast: Forecast, now_s: float) -> bool:
-    """Tell whether a step's job cannot meet its objective any more."""
+    Returns
+    -------
+    is_infeasible : bool
+        Whether the job would be late even if its work took the least expected time.
+    """
     if step.specification.is_lasting:
         return False
     job, occurrence = step.job, step.name.occurrence
-    left_s = ESTIMATE_TRUST * forecast.remaining_chain_s(job, occurrence, queue)
-    return now_s + left_s > forecast.due_s(job, occurrence, queue)
+    least_remaining_s = LEAST_DURATION_SHARE * forecast.remaining_critical_path_s(
+        job, occurrence, queue
+    )
+    return now_s + least_remaining_s > forecast.due_s(job, occurrence, queue)
 
 
-def in_order(
+def sort_waiting_steps(
     steps: Iterable[Step],
     queue_of: Callable[[Job], Queue | None],
     forecast: Forecast,
     now_s: float,
 ) -> list[WaitingStep]:
-    """Return the steps with waiting tasks, the first to serve first.
+    """Return the steps with waiting tasks in the order in which to serve them.
 
     Parameters
     ----------
     steps : iterable of Step
-        Steps whose predecessors are done.
+        The steps whose predecessors are done.
     queue_of : callable
-        Returns a job's queue.
+        Returns the queue of a job, or None if it is not configured.
     forecast : Forecast
-        Foretells durations and objectives.
+        Predicts the remaining time and the deadlines of jobs.
     now_s : float
         The time on the loop's clock.
+
+    Returns
+    -------
+    waiting : list of WaitingStep
+        The steps, the first to serve first.
     """
     waiting = []
     for step in steps:
         queue = queue_of(step.job) if step.waiting_tasks else None
         if queue is not None:
             due_s = forecast.due_s(step.job, step.name.occurrence, queue)
-            hopeless = is_hopeless(step, queue, forecast, now_s)
-            waiting.append(WaitingStep(step, queue, due_s, hopeless))
-    deferred = _deferred(waiting, forecast, now_s)
-    waiting.sort(key=lambda item: _rank(item, deferred))
+            infeasible = is_infeasible(step, queue, forecast, now_s)
+            waiting.append(WaitingStep(step, queue, due_s, infeasible))
+    deferred = _find_deferred_jobs(waiting, forecast, now_s)
+    waiting.sort(key=lambda item: _sort_key(item, deferred))
     return waiting
 
 
-def _rank(
+def _sort_key(
     waiting: WaitingStep, deferred: set[str]
 ) -> tuple[bool, int, bool, bool, float, str]:
     job = waiting.step.job
     return (
         job.exceeds_rate,
         waiting.queue.priority,
-        waiting.is_hopeless,
+        waiting.is_infeasible,
         job.record.job_id in deferred,
         waiting.due_s,
         str(waiting.step.name),
     )
 
 
-def _deferred(waiting: list[WaitingStep], forecast: Forecast, now_s: float) -> set[str]:
-    """Return the jobs that have to wait so that most of their urgency are in time."""
+def _find_deferred_jobs(
+    waiting: list[WaitingStep], forecast: Forecast, now_s: float
+) -> set[str]:
+    """Return the ids of the jobs to defer so that the most jobs are in time.
+
+    Jobs of each pool and priority are considered by themselves.
+    """
     demands: dict[tuple[str, int], dict[str, Demand]] = {}
     for item in waiting:
         job, step, queue = item.step.job, item.step, item.queue
-        if item.is_hopeless or job.exceeds_rate or step.specification.is_lasting:
+        if item.is_infeasible or job.exceeds_rate or step.specification.is_lasting:
             continue
         occurrence = step.name.occurrence
         group = demands.setdefault((queue.pool, queue.priority), {})
-        chain_s = forecast.remaining_chain_s(job, occurrence, queue)
+        critical_path_s = forecast.remaining_critical_path_s(job, occurrence, queue)
         group[job.record.job_id] = Demand(
             job.record.job_id,
             forecast.remaining_work_s(job, occurrence, queue),
-            ESTIMATE_TRUST * chain_s,
+            LEAST_DURATION_SHARE * critical_path_s,
             item.due_s,
         )
     deferred: set[str] = set()
     for group in demands.values():
-        deferred |= jobs_to_defer(group.values(), now_s)
+        deferred |= select_deferred_jobs(group.values(), now_s)
     return deferred
--- a/src/fuchsiadale/decision/workflow/run_tracker.py
+++ b/src/fuchsiadale/decision/workflow/run_tracker.py
@@ -246,7 +246,7 @@
     ) -> None:
         """Record the duration of a completed run that covers the whole task."""
         queue, estimated_s = step.job.record.queue, step.specification.estimated_s
-        worker.note_duration(ran_s, self.durations.expect_s(queue, estimated_s))
+        worker.note_duration(ran_s, self.durations.predict_s(queue, estimated_s))
         self.durations.observe(queue, estimated_s, ran_s, 1.0 / len(step.tasks))
         step.measured_runs += 1
         step.measured_runs_total_s += ran_s
--- a/src/fuchsiadale/decision/workflow/scheduler.py
+++ b/src/fuchsiadale/decision/workflow/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides on every event of workers, advice and time."""
+"""Applies worker reports, advice answers and timeouts to the state of a cell."""
 
 from __future__ import annotations
 
@@ -22,37 +22,72 @@
     WorkerState,
 )
 from fuchsiadale.decision.workflow.names import TaskName
-from fuchsiadale.decision.workflow.pacing import pace_orders
+from fuchsiadale.decision.workflow.pacing import adjust_filler_paces
 from fuchsiadale.decision.workflow.run_tracker import RunTracker
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
-LEAVE_MARGIN_S = 0.8
-"""Seconds before a worker leaves at which runs are stopped: a stop and a look."""
+DRAIN_STOP_MARGIN_S = 0.8
+"""Seconds before a draining worker leaves at which its runs are stopped.
 
-STALL_S = 3.0
-"""Seconds without progress after which a run is stopped: three checkpoints."""
+The time suffices for one stop order and for the report that follows it.
+"""
+
+STALL_TIMEOUT_S = 3.0
+"""Seconds without progress after which a run that uses no processor is stopped.
+
+The time is that of three checkpoint intervals.
+"""
 
 STOP_SETTLE_S = 0.4
-"""Seconds after an acknowledged stop in which the run may still be listed."""
+"""Seconds for which a worker may still report a run whose stop it acknowledged.
+
+A run that is missing from a report requested later than this counts as ended.
+"""
 
 TICKET_MARGIN_S = 0.15
-"""Validity that a ticket must have left when it is used: a start's way, slowed."""
+"""Seconds by which a ticket is treated as expired before it is.
+
+A ticket must still be valid when the start order reaches the worker over a slow
+network.
+"""
+
+UNKNOWN_RUN_GRACE_S = 2.0
+"""Seconds after which runs of an unknown job are stopped.
 
-FOREIGN_RUN_S = 2.0
-"""Seconds after which a run of no known job is stopped; a watch's silence."""
+The watch on the table of jobs takes this long to detect a silent connection, so the
+job of such a run may be stored and not yet known.
+"""
 
 
 class Scheduler(RunTracker):
-    """Decides where tasks run; it is told of events and gives orders."""
+    """Tracks the workers of a cell and decides which runs to stop or to slow down.
 
-    def shorten_leases(self, until_s: float) -> None:
-        """Note when what the former owner started has surely ended."""
+    The owner of the cell reports each event to it and carries out the orders that the
+    methods return.
+    """
+
+    def bound_previous_owner_leases(self, until_s: float) -> None:
+        """Bound the leases of workers that have not answered this owner yet.
+
+        Parameters
+        ----------
+        until_s : float
+            Time by which every run that a previous owner started has ended, on the
+            loop's clock.
+        """
         for worker in self.workers.values():
             if not worker.is_adopted:
                 worker.lease_ends_s = min(worker.lease_ends_s, until_s)
 
-    def observe_workers(self, entries: Iterable[WorkerEntry]) -> list[TrackedWorker]:
-        """Take the list of registered workers over.
+    def update_registrations(
+        self, entries: Iterable[WorkerEntry]
+    ) -> list[TrackedWorker]:
+        """Update the workers from the list of registrations.
+
+        Parameters
+        ----------
+        entries : iterable of WorkerEntry
+            The registrations of all workers; a worker that is missing is unlisted.
 
         Returns
         -------
@@ -60,47 +95,70 @@
             Workers that were not known.
         """
         added = []
-        present = set()
+        listed_ids = set()
         for entry in entries:
-            present.add(entry.worker_id)
-            known = self.workers.get(entry.worker_id)
-            if known is None:
+            listed_ids.add(entry.worker_id)
+            known_worker = self.workers.get(entry.worker_id)
+            if known_worker is None:
                 worker = TrackedWorker(entry, lease_ends_s=self.clock.now())
                 self.workers[entry.worker_id] = worker
                 added.append(worker)
                 self._record_decision("worker_found", "", worker=entry.worker_id)
                 continue
-            if known.entry.state is not entry.state:
+            if known_worker.entry.state is not entry.state:
                 self._record_decision(
                     "worker_state",
                     "",
                     worker=entry.worker_id,
                     state=entry.state.value,
                 )
-            known.update_entry(entry, self.clock.now())
+            known_worker.update_entry(entry, self.clock.now())
         for worker_id, worker in self.workers.items():
-            if worker_id not in present and worker.is_listed:
+            if worker_id not in listed_ids and worker.is_listed:
                 worker.is_listed = False
                 self._record_decision("worker_unlisted", "", worker=worker_id)
         return added
 
-    def note_failure_to_answer(self, worker_id: str) -> None:
-        """Note that a worker did not answer; nothing new is placed on it."""
+    def mark_worker_unresponsive(self, worker_id: str) -> None:
+        """Mark a worker that did not answer, so that no new run is placed on it."""
         worker = self.workers.get(worker_id)
         if worker is not None and worker.unresponsive_since_s is None:
             worker.unresponsive_since_s = self.clock.now()
             self._record_decision("worker_silent", "", worker=worker_id)
 
-    def note_lease(self, worker_id: str, ends_s: float) -> None:
-        """Note when everything on a worker ends if no later order reaches it."""
+    def extend_lease(self, worker_id: str, ends_s: float) -> None:
+        """Extend a worker's lease; the worker ends all of its runs when it lapses.
+
+        Parameters
+        ----------
+        worker_id : str
+            The worker; nothing happens if it is not known.
+        ends_s : float
+            When the lease ends if no later order renews it, on the loop's clock.
+        """
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.extend_lease(ends_s)
 
-    def note_report(
+    def process_report(
         self, worker_id: str, report: WorkerReport, sent_s: float
     ) -> list[Order]:
-        """Compare what a worker reports with what was placed on it."""
+        """Compare the runs that a worker reports with the runs placed on it.
+
+        Parameters
+        ----------
+        worker_id : str
+            The worker that answered.
+        report : WorkerReport
+            Its answer.
+        sent_s : float
+            When the worker was asked, on the loop's clock.
+
+        Returns
+        -------
+        orders : list of Order
+            The orders to carry out.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return []
@@ -110,25 +168,26 @@
             worker.unresponsive_since_s = None
         if report.started_ms != worker.started_ms:
             if worker.started_ms:
-                # Runs of the former life are found absent below. A start may have
-                # reached the new life already, so nothing is dropped unseen.
+                # Runs from before the restart are missing from the report and end
+                # below. A start may already have reached the new incarnation, so no
+                # run ends here, before it is compared with the report.
                 self._record_decision("worker_restarted", "", worker=worker_id)
             worker.started_ms = report.started_ms
             worker.last_processed_end = 0
-        seen = set()
+        reported_runs = set()
         worker.unknown_job_runs = 0
         for row in report.running:
-            seen.add((row.task, row.run))
-            self._note_running(worker, row, now)
+            reported_runs.add((row.task, row.run))
+            self._process_running_row(worker, row, now)
         if not worker.unknown_job_runs:
             worker.unknown_job_runs_since_s = None
         for ended in report.ended:
-            seen.add((ended.task, ended.run))
+            reported_runs.add((ended.task, ended.run))
             if ended.sequence_number > worker.last_processed_end:
                 worker.last_processed_end = ended.sequence_number
-                self._note_end(worker, ended)
-        self._note_absent(worker, seen, sent_s)
-        for order in pace_orders(worker.runs.values()):
+                self._process_ended_row(worker, ended)
+        self._end_absent_runs(worker, reported_runs, sent_s)
+        for order in adjust_filler_paces(worker.runs.values()):
             self._orders.append(order)
             self._record_decision(
                 "run_paced",
@@ -142,63 +201,95 @@
             worker.is_adopted = True
         return self.pop_orders()
 
-    def note_replaced(self, worker_id: str) -> None:
-        """Note that another worker answers at a worker's address."""
+    def mark_worker_replaced(self, worker_id: str) -> None:
+        """Mark a worker as replaced: another worker answers at its address.
+
+        All runs on the replaced worker count as ended.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        self.note_failure_to_answer(worker_id)
+        self.mark_worker_unresponsive(worker_id)
         if worker.runs:
             self._record_decision("worker_replaced", "", worker=worker_id)
             self._end_vanished_runs(worker, list(worker.runs.values()))
         worker.is_adopted = False
 
-    def forget_gone_workers(self) -> list[str]:
-        """Drop workers that are not registered, not answering and empty."""
-        gone = [
+    def remove_gone_workers(self) -> list[str]:
+        """Remove workers that are unregistered, do not answer and have no runs.
+
+        Returns
+        -------
+        gone_ids : list of str
+            The ids of the removed workers.
+        """
+        gone_ids = [
             worker_id
             for worker_id, worker in self.workers.items()
             if not worker.is_listed
             and worker.unresponsive_since_s is not None
             and not worker.runs
         ]
-        for worker_id in gone:
+        for worker_id in gone_ids:
             del self.workers[worker_id]
             self.retired_workers.add(worker_id)
             self._record_decision("worker_forgotten", "", worker=worker_id)
-        return gone
+        return gone_ids
 
-    def note_advice(
+    def process_advice(
         self,
         order: RequestAdvice,
-        granted: dict[str, str] | None,
+        granted_tickets: dict[str, str] | None,
         valid_s: float,
     ) -> None:
-        """Take an answer of the advice service; None if there was none."""
+        """Store the answer to an advice call.
+
+        Parameters
+        ----------
+        order : RequestAdvice
+            The call, with the workers that it named.
+        granted_tickets : dict of str to str or None
+            A ticket for each worker that may run the step, by worker; None if the
+            advice service did not answer.
+        valid_s : float
+            Seconds for which the tickets are valid.
+        """
         self.pending_advice_requests -= 1
         step = self.active_steps.get(order.step)
         if step is None:
             return
         step.is_awaiting_advice = False
         now = self.clock.now()
-        if granted is None:
+        if granted_tickets is None:
+            # Advice is requested again after 0.1 s at the earliest.
             step.next_advice_request_s = now + 0.1
             return
         for worker_id in order.worker_ids:
-            step.advice_by_worker[worker_id] = worker_id in granted
-            if worker_id in granted:
-                ticket = Ticket(granted[worker_id], now + valid_s - TICKET_MARGIN_S)
+            step.advice_by_worker[worker_id] = worker_id in granted_tickets
+            if worker_id in granted_tickets:
+                ticket = Ticket(
+                    granted_tickets[worker_id], now + valid_s - TICKET_MARGIN_S
+                )
                 step.tickets[worker_id] = ticket
         self._record_decision(
             "advice_received",
             order.step.job_id,
             step=str(order.step),
             asked=len(order.worker_ids),
-            granted=len(granted),
+            granted=len(granted_tickets),
         )
 
-    def check_time(self) -> list[Order]:
-        """Act on what the passing of time decides."""
+    def check_timeouts(self) -> list[Order]:
+        """Act on leases that lapsed, runs that stalled and workers about to leave.
+
+        The runs of a silent worker count as ended once its lease has lapsed. Runs that
+        stalled or whose worker is about to leave are stopped.
+
+        Returns
+        -------
+        orders : list of Order
+            The orders to carry out.
+        """
         now = self.clock.now()
         for worker in list(self.workers.values()):
             if worker.runs and worker.unresponsive_since_s is not None:
@@ -212,11 +303,11 @@
                     worker.is_adopted = False
                     self._end_vanished_runs(worker, list(worker.runs.values()))
                 continue
-            leaving = self._is_leaving(worker, now)
+            is_leaving = self._is_about_to_leave(worker, now)
             for run in list(worker.runs.values()):
                 if run.state is not RunState.RUNNING:
                     continue
-                if leaving:
+                if is_leaving:
                     self._stop_run(run, "worker_leaves")
                 elif self._is_stalled(run, now):
                     worker.note_failure(run.task.name.step.job_id, now)
@@ -224,7 +315,7 @@
                     self._stop_run(run, "stalled")
         return self.pop_orders()
 
-    def _note_running(
+    def _process_running_row(
         self, worker: TrackedWorker, row: ReportedRun, now: float
     ) -> None:
         run = worker.runs.get((row.task, row.run))
@@ -247,7 +338,15 @@
     def _adopt_run(
         self, worker: TrackedWorker, row: ReportedRun, now: float
     ) -> Run | None:
-        """Count a run that an earlier owner started."""
+        """Add a run that a previous owner started; stop it if it is not needed.
+
+        Runs of unknown jobs are stopped after `UNKNOWN_RUN_GRACE_S`.
+
+        Returns
+        -------
+        run : Run or None
+            The run; None if its job or its task is not known here.
+        """
         job = self.jobs.get(row.task.step.job_id)
         task = find_task(job, row.task) if job else None
         worker_id = worker.entry.worker_id
@@ -255,7 +354,7 @@
             worker.unknown_job_runs += 1
             if worker.unknown_job_runs_since_s is None:
                 worker.unknown_job_runs_since_s = now
-            elif now - worker.unknown_job_runs_since_s > FOREIGN_RUN_S:
+            elif now - worker.unknown_job_runs_since_s > UNKNOWN_RUN_GRACE_S:
                 order = StopRun(worker_id, row.task, row.run, "unknown_job")
                 self._orders.append(order)
             return None
@@ -272,11 +371,14 @@
             self._stop_run(run, "not_needed")
         return run
 
-    def _note_absent(
-        self, worker: TrackedWorker, seen: set[tuple[TaskName, int]], sent_s: float
+    def _end_absent_runs(
+        self,
+        worker: TrackedWorker,
+        reported_runs: set[tuple[TaskName, int]],
+        sent_s: float,
     ) -> None:
         for key, run in list(worker.runs.items()):
-            if key in seen or run.state is RunState.STARTING:
+            if key in reported_runs or run.state is RunState.STARTING:
                 continue
             confirmed_s = run.confirmed_s
             if run.stop_acknowledged_s is not None:
@@ -284,7 +386,7 @@
             if confirmed_s is not None and confirmed_s < sent_s:
                 self._end_run(run, EndKind.VANISHED, "")
 
-    def _note_end(self, worker: TrackedWorker, row: ReportedEnd) -> None:
+    def _process_ended_row(self, worker: TrackedWorker, row: ReportedEnd) -> None:
         run = worker.runs.get((row.task, row.run))
         if run is None:
             job = self.jobs.get(row.task.step.job_id)
@@ -295,16 +397,16 @@
             task.last_run = max(task.last_run, row.run)
         self._end_run(run, row.kind, row.checkpoint)
 
-    def _is_leaving(self, worker: TrackedWorker, now: float) -> bool:
+    def _is_about_to_leave(self, worker: TrackedWorker, now: float) -> bool:
         if (
             worker.entry.state is not WorkerState.DRAINING
             or worker.earliest_departure_s is None
         ):
             return False
-        return now > worker.earliest_departure_s - LEAVE_MARGIN_S
+        return now > worker.earliest_departure_s - DRAIN_STOP_MARGIN_S
 
     def _is_stalled(self, run: Run, now: float) -> bool:
         specification = run.task.step.specification
         if specification.is_lasting or specification.is_filler or run.load is None:
             return False
-        return run.load <= 0.0 and now - run.last_progress_s > STALL_S
+        return run.load <= 0.0 and now - run.last_progress_s > STALL_TIMEOUT_S
--- a/tests/load_kinds.py
+++ b/tests/load_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of jobs and the workers of the users' sheets, as they are played."""
+"""Kinds of jobs and pools of workers of the Guild, one of the users' sites."""
 
 from __future__ import annotations
 
@@ -9,41 +9,77 @@
 
 
 @frozen
-class Kind:
-    """One kind of job, as the sheets tell it."""
+class JobKind:
+    """Distribution of the jobs of one kind.
+
+    Attributes
+    ----------
+    queue : Queue
+        The queue that its jobs enter.
+    arrivals_per_s : float
+        Mean rate of arrivals, in jobs per second.
+    usual_value : float
+        Value of a job of usual size.
+    usual_task_s : float
+        Usual duration of a task, in seconds.
+    usual_width : float
+        Usual number of tasks of a step.
+    cpu_millis : int
+        Processors that a task takes, in thousandths of a core.
+    memory_mb : int
+        Memory of a task, in MiB.
+    accelerators : tuple of int
+        Possible numbers of accelerators per task; each step draws one of them.
+    usual_steps : float
+        Usual number of steps, which run in sequence.
+    estimate_error : float
+        Standard deviation of log(estimate / duration).
+    estimate_bias : float
+        By how much estimates are too low on average, as a logarithm.
+    task_spread : float
+        Standard deviation of the logarithm of durations within a step.
+    failure_share : float
+        Share of runs that fail.
+    poisoned_share : float
+        Share of jobs with a task of which every run fails.
+    granted_share : float
+        Share of the pool's workers that advice grants to a step.
+    checkpointing_share : float
+        Share of steps whose tasks resume from checkpoints.
+    """
 
     queue: Queue
-    per_s: float
-    worth: float
-    work_s: float
-    width: float
+    arrivals_per_s: float
+    usual_value: float
+    usual_task_s: float
+    usual_width: float
     cpu_millis: int
     memory_mb: int
     accelerators: tuple[int, ...] = (0,)
-    steps: float = 1.0
+    usual_steps: float = 1.0
     estimate_error: float = 0.5
     estimate_bias: float = 0.0
-    uneven: float = 0.15
-    failing: float = 0.02
-    poison: float = 0.03
-    granted: float = 1.0
-    resumes: float = 0.0
+    task_spread: float = 0.15
+    failure_share: float = 0.02
+    poisoned_share: float = 0.03
+    granted_share: float = 1.0
+    checkpointing_share: float = 0.0
 
 
 @frozen
 class Pool:
-    """Workers of one kind."""
+    """Equal workers that run the tasks of the same queues."""
 
     name: str
-    workers: int
+    worker_count: int
     capacity: Resources
 
 
-def make_guild_kinds() -> list[Kind]:
-    """Return the Guild's kinds of jobs that end, as the sheets tell them."""
+def make_guild_kinds() -> list[JobKind]:
+    """Return the Guild's kinds of jobs, except those that run until cancelled."""
     preparation, imaging = "preparation", "imaging"
     return [
-        Kind(
+        JobKind(
             Queue(
                 "proof",
                 "host",
@@ -61,10 +97,10 @@
             6.0,
             1500,
             4300,
-            steps=1.5,
-            granted=0.7,
+            usual_steps=1.5,
+            granted_share=0.7,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "digitise",
                 "host",
@@ -82,12 +118,12 @@
             11.0,
             3300,
             6700,
-            steps=2.0,
+            usual_steps=2.0,
             estimate_error=0.2,
-            granted=0.45,
-            resumes=0.8,
+            granted_share=0.45,
+            checkpointing_share=0.8,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "render",
                 "host",
@@ -108,12 +144,12 @@
             (2, 4, 8, 8),
             estimate_error=0.9,
             estimate_bias=0.4,
-            uneven=0.3,
-            failing=0.05,
-            granted=0.3,
-            resumes=0.9,
+            task_spread=0.3,
+            failure_share=0.05,
+            granted_share=0.3,
+            checkpointing_share=0.9,
         ),
-        Kind(
+        JobKind(
             Queue(
                 "match",
                 "host",
@@ -133,16 +169,16 @@
             8200,
             (1,),
             estimate_error=0.2,
-            failing=0.05,
-            poison=0.0,
-            granted=0.45,
-            resumes=0.8,
+            failure_share=0.05,
+            poisoned_share=0.0,
+            granted_share=0.45,
+            checkpointing_share=0.8,
         ),
     ]
 
 
 def make_guild_pools() -> list[Pool]:
-    """Return the Guild's workers."""
+    """Return the Guild's pools of workers."""
     return [
         Pool("preparation", 18, Resources(16_000, 65_536, 0)),
         Pool("imaging", 7, Resources(64_000, 131_072, 8)),
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -152,7 +152,7 @@
 
     def adopt_workers(self) -> None:
         """Register and poll every worker, and mark it as recorded without runs."""
-        self.scheduler.observe_workers(self.entries)
+        self.scheduler.update_registrations(self.entries)
         for entry in self.entries:
             self.running.setdefault(entry.worker_id, {})
             self.scheduler.workers[entry.worker_id].note_recorded(())
@@ -171,7 +171,7 @@
             ),
             tuple(self.listed_ends.get(worker_id, ())),
         )
-        self.execute(self.scheduler.note_report(worker_id, report, sent_s))
+        self.execute(self.scheduler.process_report(worker_id, report, sent_s))
 
     def poll_all(self) -> None:
         """Poll every worker."""
@@ -214,7 +214,7 @@
             tickets = {
                 worker_id: "t" for worker_id in order.worker_ids if worker_id in allowed
             }
-            self.scheduler.note_advice(order, tickets, 2.0)
+            self.scheduler.process_advice(order, tickets, 2.0)
 
     def end_run(
         self,
