--- a/src/fuchsiadale/decision/errors.py
+++ b/src/fuchsiadale/decision/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer each one gets."""
+"""The kinds of errors that callers receive, and the HTTP response to each."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -7,8 +7,8 @@
 from attrs import frozen
 
 
-class RunState(Enum):
-    """What is known about whether the work ran."""
+class ExecutionOutcome(Enum):
+    """Whether the work was executed, as far as is known."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -16,7 +16,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which the system turns a caller away."""
+    """Every reason for which a call is refused or work ends without success."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -45,64 +45,72 @@
 
 
 @frozen
-class ErrorAnswer:
-    """How an error kind is told to a caller.
+class ErrorResponse:
+    """How an error kind is returned to a caller.
 
     Attributes
     ----------
     http_status : int
-        Status code of the HTTP answer.
-    run_state : RunState
-        Whether the work ran.
+        Status code of the HTTP response.
+    execution_outcome : ExecutionOutcome
+        Whether the work was executed.
     retry_after_s : int or None
-        Seconds after which a new try is worthwhile, if one is.
+        Seconds after which the caller may retry; None if it should not.
     """
 
     http_status: int
-    run_state: RunState
+    execution_outcome: ExecutionOutcome
     retry_after_s: int | None = None
 
 
-_NOT_RUN = RunState.NOT_RUN
+_NOT_RUN = ExecutionOutcome.NOT_RUN
 
-ANSWERS: Mapping[ErrorKind, ErrorAnswer] = MappingProxyType(
+ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = MappingProxyType(
     {
-        ErrorKind.MALFORMED: ErrorAnswer(400, _NOT_RUN),
-        ErrorKind.TOO_LARGE: ErrorAnswer(413, _NOT_RUN),
-        ErrorKind.UNAUTHENTICATED: ErrorAnswer(401, _NOT_RUN),
-        ErrorKind.FORBIDDEN: ErrorAnswer(403, _NOT_RUN),
-        ErrorKind.NOT_FOUND: ErrorAnswer(404, _NOT_RUN),
-        ErrorKind.NO_SUCH_JOB: ErrorAnswer(410, _NOT_RUN),
-        ErrorKind.INFEASIBLE: ErrorAnswer(422, _NOT_RUN),
-        ErrorKind.QUEUE_FULL: ErrorAnswer(429, _NOT_RUN, 1),
-        ErrorKind.KEY_REUSED: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.VERSION_CONFLICT: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.CONFIG_INVALID: ErrorAnswer(422, _NOT_RUN),
-        ErrorKind.CONFIG_STALE: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.NO_OWNER: ErrorAnswer(503, _NOT_RUN, 2),
-        ErrorKind.NOT_OWNER: ErrorAnswer(503, _NOT_RUN, 1),
-        ErrorKind.DRAINING: ErrorAnswer(503, _NOT_RUN, 1),
-        ErrorKind.TIMEOUT: ErrorAnswer(504, _NOT_RUN, 1),
-        ErrorKind.CANCELLED: ErrorAnswer(409, _NOT_RUN),
-        ErrorKind.RETRIES_EXHAUSTED: ErrorAnswer(503, _NOT_RUN, 5),
-        ErrorKind.TASK_FAILED: ErrorAnswer(502, RunState.RAN),
-        ErrorKind.POISON: ErrorAnswer(422, RunState.RAN),
-        ErrorKind.ANSWER_LOST: ErrorAnswer(410, RunState.RAN),
-        ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(504, RunState.OUTCOME_UNKNOWN),
-        ErrorKind.INTERNAL: ErrorAnswer(500, RunState.OUTCOME_UNKNOWN),
+        ErrorKind.MALFORMED: ErrorResponse(400, _NOT_RUN),
+        ErrorKind.TOO_LARGE: ErrorResponse(413, _NOT_RUN),
+        ErrorKind.UNAUTHENTICATED: ErrorResponse(401, _NOT_RUN),
+        ErrorKind.FORBIDDEN: ErrorResponse(403, _NOT_RUN),
+        ErrorKind.NOT_FOUND: ErrorResponse(404, _NOT_RUN),
+        ErrorKind.NO_SUCH_JOB: ErrorResponse(410, _NOT_RUN),
+        ErrorKind.INFEASIBLE: ErrorResponse(422, _NOT_RUN),
+        ErrorKind.QUEUE_FULL: ErrorResponse(429, _NOT_RUN, 1),
+        ErrorKind.KEY_REUSED: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.VERSION_CONFLICT: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.CONFIG_INVALID: ErrorResponse(422, _NOT_RUN),
+        ErrorKind.CONFIG_STALE: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.NO_OWNER: ErrorResponse(503, _NOT_RUN, 2),
+        ErrorKind.NOT_OWNER: ErrorResponse(503, _NOT_RUN, 1),
+        ErrorKind.DRAINING: ErrorResponse(503, _NOT_RUN, 1),
+        ErrorKind.TIMEOUT: ErrorResponse(504, _NOT_RUN, 1),
+        ErrorKind.CANCELLED: ErrorResponse(409, _NOT_RUN),
+        ErrorKind.RETRIES_EXHAUSTED: ErrorResponse(503, _NOT_RUN, 5),
+        ErrorKind.TASK_FAILED: ErrorResponse(502, ExecutionOutcome.RAN),
+        ErrorKind.POISON: ErrorResponse(422, ExecutionOutcome.RAN),
+        ErrorKind.ANSWER_LOST: ErrorResponse(410, ExecutionOutcome.RAN),
+        ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(504, ExecutionOutcome.OUTCOME_UNKNOWN),
+        ErrorKind.INTERNAL: ErrorResponse(500, ExecutionOutcome.OUTCOME_UNKNOWN),
     }
 )
 
 
 @frozen
 class Refusal:
-    """An error told to a caller: its kind and a sentence for a person."""
+    """An error that is returned to a caller.
+
+    Attributes
+    ----------
+    kind : ErrorKind
+        Selects the HTTP response.
+    message : str
+        Explains the error to a person.
+    """
 
     kind: ErrorKind
     message: str
 
     @property
-    def answer(self) -> ErrorAnswer:
-        """The answer that the table gives for this kind."""
-        return ANSWERS[self.kind]
+    def error_response(self) -> ErrorResponse:
+        """The response to errors of this kind."""
+        return ERROR_RESPONSES[self.kind]
--- /dev/null
+++ b/src/fuchsiadale/decision/workflow/tracked_worker.py
@@ -0,0 +1,240 @@
+"""Resources, runs, reachability and reliability of a worker."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from attrs import Factory, define
+
+from fuchsiadale.decision.resources import NO_RESOURCES, Resources
+from fuchsiadale.decision.workflow.jobs import Run
+from fuchsiadale.decision.workflow.messages import WorkerEntry, WorkerState
+from fuchsiadale.decision.workflow.names import TaskName
+
+FAILURE_WEIGHT = 0.3
+"""Weight of the newest outcome in a worker's failure score.
+
+The score is a moving average in which about the last three outcomes count.
+"""
+
+QUARANTINE_SCORE = 0.6
+"""Failure score that quarantines a worker; three failed jobs in a row reach it."""
+
+QUARANTINE_S = 4.0
+"""Seconds for which a failing worker is quarantined.
+
+A gray failure, in which a worker answers but its runs fail, lasts about 4 s.
+"""
+
+SLOWDOWN_WEIGHT = 0.1
+"""Weight of the newest run in a worker's slowdown.
+
+The small weight averages out the errors of callers' estimates.
+"""
+
+MAX_RUN_SLOWDOWN = 10.0
+"""Upper bound on the slowdown of a single run.
+
+An expected duration near 0 would otherwise give an arbitrarily large slowdown.
+"""
+
+MAX_CLOCK_DRIFT = 0.02
+"""Fraction by which a worker's clock may run slow, by the platform's contract."""
+
+RunKey = tuple[TaskName, int]
+
+
+@define(eq=False)
+class TrackedWorker:
+    """A worker with its free resources and the runs that may be present on it.
+
+    Times in seconds are on the event loop's clock.
+
+    Attributes
+    ----------
+    entry : WorkerEntry
+        The worker's registration.
+    free : Resources
+        Capacity that is not reserved by runs that may be present.
+    runs : dict of (TaskName, int) to Run
+        Runs that may be present on the worker, by task and number of the run.
+    is_listed : bool
+        Whether the worker is still registered.
+    is_adopted : bool
+        Whether the worker has answered under the current fencing token since it was
+        last considered lost.
+    is_recorded : bool
+        Whether the worker is in the store, where a later owner would find it.
+    unresponsive_since_s : float or None
+        When the worker stopped answering; None while it answers.
+    earliest_departure_s : float or None
+        When a draining worker may leave, counted from the registration that last
+        changed `remaining_s`; None if not given.
+    lease_ends_s : float
+        When all runs on the worker have certainly ended if the lease is not renewed.
+    started_ms : int
+        Start of the worker's incarnation that last answered, in Unix milliseconds; 0
+        before its first answer.
+    last_processed_end : int
+        Sequence number of the last end of that incarnation that was processed.
+    failure_score : float
+        Moving average of outcomes, where a failed or stalled run, or a start refused
+        as NO_ROOM or UNHEALTHY, counts as 1, and a completed run as 0.
+    slowdown : float
+        Moving average of the ratio of actual to expected run durations.
+    quarantined_until_s : float
+        Until when no new tasks are placed on the worker because of its failures.
+    last_failed_job : str
+        Id of the job whose failure was last counted; empty if none.
+    unknown_job_runs : int
+        Number of runs of unknown jobs on the worker; their resources are unknown too.
+    unknown_job_runs_since_s : float or None
+        When such runs were first reported; None if there are none.
+    """
+
+    entry: WorkerEntry
+    free: Resources = NO_RESOURCES
+    runs: dict[RunKey, Run] = Factory(dict)
+    is_listed: bool = True
+    is_adopted: bool = False
+    is_recorded: bool = False
+    unresponsive_since_s: float | None = None
+    earliest_departure_s: float | None = None
+    lease_ends_s: float = 0.0
+    started_ms: int = 0
+    last_processed_end: int = 0
+    failure_score: float = 0.0
+    slowdown: float = 1.0
+    quarantined_until_s: float = 0.0
+    last_failed_job: str = ""
+    unknown_job_runs: int = 0
+    unknown_job_runs_since_s: float | None = None
+    _recorded_runs: dict[RunKey, None] = Factory(dict)
+
+    def __attrs_post_init__(self) -> None:
+        """Set the free resources to the whole capacity."""
+        self.free = self.entry.capacity
+
+    @property
+    def rack(self) -> str:
+        """Name of the worker's rack, which is its last label; empty without labels."""
+        return self.entry.labels[-1] if self.entry.labels else ""
+
+    @property
+    def is_unavailable(self) -> bool:
+        """Whether the worker is draining or does not answer."""
+        is_draining = self.entry.state is WorkerState.DRAINING
+        return is_draining or self.unresponsive_since_s is not None
+
+    @property
+    def is_record_stale(self) -> bool:
+        """Whether the stored list of runs differs from the runs that may be present."""
+        return not self.is_recorded or self._recorded_runs.keys() != self.runs.keys()
+
+    @property
+    def is_record_awaited(self) -> bool:
+        """Whether the worker, or a run to start on it, still has to be recorded.
+
+        Unlike `is_record_stale`, ignores ended runs that the store still lists.
+        """
+        return not self.is_recorded or bool(
+            self.runs.keys() - self._recorded_runs.keys()
+        )
+
+    def note_recorded(self, runs: Iterable[RunKey]) -> None:
+        """Note that the store lists these runs as possibly present on the worker."""
+        self.is_recorded = True
+        self._recorded_runs = dict.fromkeys(runs)
+
+    def has_recorded(self, task: TaskName, run: int) -> bool:
+        """Return whether the store lists a run, so that a later owner finds it."""
+        return self.is_recorded and (task, run) in self._recorded_runs
+
+    def extend_lease(self, ends_s: float) -> None:
+        """Move the end of the lease to a time, unless it ends later already."""
+        self.lease_ends_s = max(self.lease_ends_s, ends_s)
+
+    def is_usable(self, now_s: float) -> bool:
+        """Return whether new tasks may be placed on the worker."""
+        if self.quarantined_until_s > now_s:
+            return False
+        return (
+            self.is_adopted
+            and not self.unknown_job_runs
+            and self.is_recorded
+            and self.is_listed
+            and not self.is_unavailable
+        )
+
+    def add_run(self, run: Run) -> None:
+        """Add a run and reserve its resources."""
+        self.runs[run.task.name, run.number] = run
+        self.free = self.free - run.task.step.specification.charged
+
+    def remove_run(self, run: Run) -> None:
+        """Remove a run that has certainly ended and release its resources."""
+        if self.runs.pop((run.task.name, run.number), None) is not None:
+            self.free = self.free + run.task.step.specification.charged
+
+    def update_entry(self, entry: WorkerEntry, now_s: float) -> None:
+        """Replace the registration by a newer one."""
+        if entry.remaining_s is None:
+            self.earliest_departure_s = None
+        elif (
+            entry.remaining_s != self.entry.remaining_s
+            or self.earliest_departure_s is None
+        ):
+            self.earliest_departure_s = now_s + entry.remaining_s
+        if entry.capacity != self.entry.capacity:
+            self.free = self.free + (entry.capacity - self.entry.capacity)
+        self.entry = entry
+        self.is_listed = True
+
+    def note_duration(self, ran_s: float, expected_s: float) -> None:
+        """Update the slowdown from a run whose duration covers the whole task."""
+        if expected_s > 0.0:
+            ratio = min(ran_s / expected_s, MAX_RUN_SLOWDOWN)
+            self.slowdown += SLOWDOWN_WEIGHT * (ratio - self.slowdown)
+
+    def note_success(self) -> None:
+        """Lower the failure score and end the quarantine after a completed run."""
+        self.failure_score *= 1.0 - FAILURE_WEIGHT
+        self.quarantined_until_s = 0.0
+
+    def note_failure(self, job_id: str, now_s: float) -> bool:
+        """Raise the failure score; consecutive failures of one job count once.
+
+        Parameters
+        ----------
+        job_id : str
+            Id of the job whose run failed.
+        now_s : float
+            The time on the event loop's clock.
+
+        Returns
+        -------
+        is_quarantined : bool
+            Whether this failure starts or extends a quarantine.
+        """
+        if job_id == self.last_failed_job:
+            return False
+        self.last_failed_job = job_id
+        decayed_score = self.failure_score * (1.0 - FAILURE_WEIGHT)
+        self.failure_score = decayed_score + FAILURE_WEIGHT
+        if self.failure_score < QUARANTINE_SCORE:
+            return False
+        self.quarantined_until_s = now_s + QUARANTINE_S
+        return True
+
+    def count_step_runs(self, job_id: str, occurrence: int, step: int) -> int:
+        """Return the number of runs of a step's occurrence that may be present."""
+        count = 0
+        for name, _ in self.runs:
+            step_name = name.step
+            if (
+                step_name.job_id == job_id
+                and step_name.occurrence == occurrence
+                and step_name.step == step
+            ):
+                count += 1
+        return count
--- a/tests/test_workflow_load.py
+++ b/tests/test_workflow_load.py
@@ -1,4 +1,4 @@
-"""Plays loads against the scheduler and checks what callers get."""
+"""Simulates loads on the scheduler and checks which jobs meet their objectives."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import pytest
 
 from fuchsiadale.decision.workflow import forecast, ordering, planning
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.messages import EndKind
-from fuchsiadale.decision.workflow.planning import MAX_UNPLACED
-from fuchsiadale.decision.workflow.triage import Demand, jobs_to_defer
+from fuchsiadale.decision.workflow.planning import MAX_UNPLACED_STEPS
+from fuchsiadale.decision.workflow.triage import Demand, select_deferred_jobs
 from tests.load_kinds import make_guild_kinds, make_guild_pools
-from tests.load_world import LoadWorld, Outcome
+from tests.load_world import LoadOutcome, LoadSimulation
 from tests.workflow_builders import (
     Cell,
     make_configuration,
@@ -22,16 +22,34 @@
 )
 
 TICK_S = 0.05
-
-
-def play(cell: Cell, arrivals: list[tuple[float, object]], until_s: float) -> set[str]:
-    """Play arrivals and return the jobs that met their objective."""
+"""Seconds by which each iteration of a simulation advances the clock."""
+
+
+def simulate(
+    cell: Cell, arrivals: list[tuple[float, object]], duration_s: float
+) -> set[str]:
+    """Simulate arrivals and return the jobs that met their objective.
+
+    Parameters
+    ----------
+    cell : Cell
+        The cell that runs the jobs.
+    arrivals : list of tuple of float and JobRecord
+        Seconds until each job is submitted, in order, and the job; it is emptied.
+    duration_s : float
+        Simulated time, in seconds.
+
+    Returns
+    -------
+    met_jobs : set of str
+        The ids of the jobs.
+    """
     start_s = cell.clock.now()
-    ends: list[tuple[float, int, str, object, int]] = []
+    end_queue: list[tuple[float, int, str, object, int]] = []
     started = 0
-    met: set[str] = set()
-    due = {}
-    while cell.clock.now() - start_s < until_s:
+    met_jobs: set[str] = set()
+    due_s_by_job = {}
+    while cell.clock.now() - start_s < duration_s:
         now_s = cell.clock.now()
         while arrivals and start_s + arrivals[0][0] <= now_s:
             record = arrivals.pop(0)[1]
@@ -39,30 +57,30 @@
             job = cell.scheduler.jobs[record.job_id]  # type: ignore[attr-defined]
             queue = cell.scheduler.queue_of(job)
             assert queue is not None
-            forecast = cell.scheduler.forecast()
-            due[job.record.job_id] = forecast.due_s(job, 0, queue)
-        cell.run_plan()
+            cell_forecast = cell.scheduler.forecast()
+            due_s_by_job[job.record.job_id] = cell_forecast.due_s(job, 0, queue)
+        cell.plan_and_execute()
         for order in cell.starts[started:]:
             job = cell.scheduler.jobs[order.task.step.job_id]
             step = job.record.specification.steps[order.task.step.step]
             item = (now_s + step.estimated_s, started, order.worker_id)
-            heappush(ends, (*item, order.task, order.run))
+            heappush(end_queue, (*item, order.task, order.run))
             started += 1
-        while ends and ends[0][0] <= now_s:
-            _, _, worker_id, task, run = heappop(ends)
+        while end_queue and end_queue[0][0] <= now_s:
+            _, _, worker_id, task, run = heappop(end_queue)
             if (task, run) in cell.running[worker_id]:
-                cell.end(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
-        cell.look_at_all()
+                cell.end_run(worker_id, task, run, EndKind.DONE)  # type: ignore[arg-type]
+        cell.poll_all()
         for job_id, job in cell.scheduler.jobs.items():
             ended_s = job.ended_s
-            if ended_s is not None and ended_s <= due[job_id]:
-                met.add(job_id)
+            if ended_s is not None and ended_s <= due_s_by_job[job_id]:
+                met_jobs.add(job_id)
         cell.clock.advance(TICK_S)
-    return met
+    return met_jobs
 
 
-def burst(count: int) -> list[tuple[float, object]]:
-    """Return a burst of small jobs among a few large ones, all within a second."""
+def make_burst(count: int) -> list[tuple[float, object]]:
+    """Return arrivals within a second; every 4th job has 16 tasks, the others 2."""
     jobs = []
     for number in range(count):
         width = 16 if number % 4 == 0 else 2
@@ -74,32 +92,32 @@
 def make_loaded_cell() -> Cell:
     configuration = make_configuration(make_queue(stretch=2.0, slack_s=0.5))
     cell = Cell(4, configuration)
-    cell.adopt()
+    cell.adopt_workers()
     return cell
 
 
-def test_burst_beyond_the_pool_keeps_more_jobs_in_time(
+def test_deferral_keeps_more_jobs_of_a_burst_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    """The load: 40 jobs in a second, four times what the pool can end in time."""
-    with_triage = play(make_loaded_cell(), burst(40), 8.0)
-    monkeypatch.setattr(ordering, "jobs_to_defer", lambda demands, now_s: set())
-    without = play(make_loaded_cell(), burst(40), 8.0)
-    assert len(with_triage) > len(without)
+    """Submit 40 jobs in a second, four times what the pool can complete in time."""
+    with_deferral = simulate(make_loaded_cell(), make_burst(40), 8.0)
+    monkeypatch.setattr(ordering, "select_deferred_jobs", lambda demands, now_s: set())
+    without_deferral = simulate(make_loaded_cell(), make_burst(40), 8.0)
+    assert len(with_deferral) > len(without_deferral)
 
 
-def test_backlog_after_an_outage_is_not_served_too_late_one_by_one():
-    """The load: 3 s of arrivals at the pool's rate that come at once."""
+def test_backlog_after_an_outage_still_meets_8_of_12_objectives():
+    """Submit at once the work that the pool can run in 3 s."""
     backlog = [
         (0.0, make_record(number, make_step(4, 1000, estimated_s=1.0)))
         for number in range(12)
     ]
-    assert len(play(make_loaded_cell(), backlog, 10.0)) == 8
+    assert len(simulate(make_loaded_cell(), backlog, 10.0)) == 8
 
 
-def test_nothing_is_deferred_when_all_can_be_met():
+def test_no_job_is_deferred_when_all_objectives_can_be_met():
     demands = [Demand(str(index), 0.1, 1.0, 2.0 + index) for index in range(10)]
-    assert jobs_to_defer(demands, 0.0) == set()
+    assert select_deferred_jobs(demands, 0.0) == set()
 
 
 def test_largest_job_is_deferred_first():
@@ -108,50 +126,53 @@
         Demand("large", 0.9, 0.2, 0.95),
         Demand("other", 0.3, 0.2, 1.2),
     ]
-    assert jobs_to_defer(demands, 0.0) == {"large"}
+    assert select_deferred_jobs(demands, 0.0) == {"large"}
 
 
-def test_plan_does_not_try_every_step_of_a_long_queue():
+def test_plan_stops_trying_steps_of_a_long_queue_after_the_limit():
     cell = make_loaded_cell()
     for number in range(200):
         cell.scheduler.accept(make_record(number, make_step(8, 2000)), 0.0)
-    cell.run_plan()
+    cell.plan_and_execute()
     tried = []
     plan_step = cell.planner._plan_step
     cell.planner._plan_step = lambda *args: tried.append(1) or plan_step(*args)  # type: ignore[method-assign,func-returns-value]
-    cell.run_plan()
-    assert len(tried) == MAX_UNPLACED
+    cell.plan_and_execute()
+    assert len(tried) == MAX_UNPLACED_STEPS
+
 
+SIMULATION_SEEDS = range(10)
+"""Seeds of the simulations whose values are added up."""
 
-SITE_SEEDS = range(10)
-SITE_S = 30.0
+SIMULATED_S = 30.0
+"""Seconds for which a simulation submits jobs."""
 
 
-def play_imaging() -> float:
-    """Play the Guild's imaging pool and return the share of worth that was earned."""
-    total = Outcome()
+def simulate_imaging_pool() -> float:
+    """Simulate the Guild's imaging pool and return the earned share of the value."""
+    total = LoadOutcome()
     kinds = [kind for kind in make_guild_kinds() if kind.queue.pool == "imaging"]
-    for seed in SITE_SEEDS:
-        world = LoadWorld(kinds, make_guild_pools()[1:], seed)
-        for outcome in world.play(SITE_S).values():
-            total.owed += outcome.owed
-            total.earned += outcome.earned
-    return total.share
+    for seed in SIMULATION_SEEDS:
+        simulation = LoadSimulation(kinds, make_guild_pools()[1:], seed)
+        for outcome in simulation.simulate(SIMULATED_S).values():
+            total.total_value += outcome.total_value
+            total.earned_value += outcome.earned_value
+    return total.earned_share
 
 
 @pytest.mark.parametrize(
     ("target", "name", "replacement"),
     [
-        (Durations, "observe", lambda *args: None),
-        (planning, "FRONT_STEPS", 0),
+        (DurationModel, "observe", lambda *args: None),
+        (planning, "MAX_EARLY_ADVICE_STEPS", 0),
         (forecast, "WAVE_SHARE", 100.0),
     ],
-    ids=["learnt durations", "early tickets", "waves"],
+    ids=["learned durations", "early tickets", "waves"],
 )
-def test_full_pool_earns_more_with(
+def test_full_pool_earns_more_value_with_each_feature(
     monkeypatch: pytest.MonkeyPatch, target: object, name: str, replacement: object
 ):
-    """The load: the Guild's imaging pool, full, with estimates that say nothing."""
-    present = play_imaging()
+    """Fill the Guild's imaging pool; the estimates of its render jobs are far off."""
+    earned_share = simulate_imaging_pool()
     monkeypatch.setattr(target, name, replacement)
-    assert present > play_imaging()
+    assert earned_share > simulate_imaging_pool()
--- a/tests/workflow_builders.py
+++ b/tests/workflow_builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data for jobs of steps."""
+"""Builds jobs, workers and a simulated cell for tests of the workflow scheduler."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import (
-    AdviceTerms,
+    AdviceTiming,
     CellConfiguration,
     Queue,
     Workspace,
 )
 from fuchsiadale.decision.workflow.messages import (
-    AskAdvice,
-    EndedRow,
     EndKind,
     Order,
-    RunningRow,
+    ReportedEnd,
+    ReportedRun,
+    RequestAdvice,
     StartOutcome,
     StartRun,
     StopRun,
@@ -37,13 +37,13 @@
 POOL = "pool"
 QUEUE = "queue"
 WORKSPACE = "workspace"
-BORN_MS = 1_000_000
-LANES = 4
-ADVICE = AdviceTerms(0.02, 0.001, 2.0)
+STARTED_MS = 1_000_000
+LANES = 4  # Maximum number of concurrent requests to the advice service.
+ADVICE = AdviceTiming(0.02, 0.001, 2.0)
 
 
 def make_queue(name: str = QUEUE, **changes: object) -> Queue:
-    """Return a queue of the test pool."""
+    """Return a queue of the test pool; `changes` override its fields."""
     fields: dict[str, object] = {
         "name": name,
         "host": "host",
@@ -63,13 +63,13 @@
     limit: Resources = NO_LIMIT,
     weight: float = 100.0,
 ) -> CellConfiguration:
-    """Return a configuration of some queues and one workspace."""
+    """Return a configuration with the given queues and one workspace."""
     workspace = Workspace(WORKSPACE, ("key",), weight, limit)
     return CellConfiguration(version, queues or (make_queue(),), (workspace,))
 
 
 def make_step(count: int = 1, cpu_millis: int = 1000, **changes: object) -> object:
-    """Return a step of equal tasks."""
+    """Return a step with `count` tasks; `changes` override its fields."""
     request = changes.pop("request", None) or Resources(cpu_millis, 100, 0)
     fields: dict[str, object] = {
         "count": count,
@@ -81,7 +81,7 @@
 
 
 def make_record(number: int = 0, *steps: object, queue: str = QUEUE) -> JobRecord:
-    """Return an accepted job."""
+    """Return an accepted job; its id is derived from `number`."""
     return JobRecord(
         f"{number:016x}",
         queue,
@@ -92,7 +92,7 @@
 
 
 def make_entry(index: int, **changes: object) -> WorkerEntry:
-    """Return a worker of the test pool."""
+    """Return a worker's registration in the test pool; `changes` override fields."""
     fields: dict[str, object] = {
         "worker_id": f"worker-{index}",
         "pool": POOL,
@@ -101,23 +101,36 @@
         "state": WorkerState.READY,
         "capacity": Resources(4000, 4000, 4),
         "labels": ("a", f"r{index // 2}"),
-        "started_ms": BORN_MS,
+        "started_ms": STARTED_MS,
         **changes,
     }
     return WorkerEntry(**fields)  # type: ignore[arg-type]
 
 
 class Cell:
-    """A scheduler with workers that obey it, without a network.
+    """A scheduler with simulated workers that execute its orders, without a network.
 
     Parameters
     ----------
     workers : int
-        How many there are.
+        Number of workers.
     configuration : CellConfiguration, optional
-        The configuration.
+        Configuration of the cell; one queue and one workspace by default.
     epoch : int
-        The owner's fencing token.
+        The owner's epoch, which is the fencing token of its orders.
+
+    Attributes
+    ----------
+    running : dict of str to dict of (TaskName, int) to str
+        Checkpoint of each run that is present, by worker id, task and run number.
+    listed_ends : dict of str to list of ReportedEnd
+        All ended runs, by worker id.
+    starts : list of StartRun
+        Executed start orders.
+    stops : list of StopRun
+        Executed stop orders.
+    advice_requests : list of RequestAdvice
+        Unanswered requests to the advice service.
     """
 
     def __init__(
@@ -132,72 +145,78 @@
         self.planner = Planner(self.scheduler)
         self.entries = [make_entry(index) for index in range(workers)]
         self.running: dict[str, dict[tuple[TaskName, int], str]] = {}
-        self.ends: dict[str, list[EndedRow]] = {}
+        self.listed_ends: dict[str, list[ReportedEnd]] = {}
         self.starts: list[StartRun] = []
         self.stops: list[StopRun] = []
-        self.asked: list[AskAdvice] = []
+        self.advice_requests: list[RequestAdvice] = []
 
-    def adopt(self) -> None:
-        """Let every worker register and answer."""
-        self.scheduler.observe_workers(self.entries)
+    def adopt_workers(self) -> None:
+        """Register and poll every worker, and mark it as recorded without runs."""
+        self.scheduler.update_registrations(self.entries)
         for entry in self.entries:
             self.running.setdefault(entry.worker_id, {})
             self.scheduler.workers[entry.worker_id].note_recorded(())
-            self.look(entry.worker_id)
+            self.poll(entry.worker_id)
 
-    def look(self, worker_id: str, born_ms: int = BORN_MS) -> None:
-        """Let a worker report."""
+    def poll(self, worker_id: str, started_ms: int = STARTED_MS) -> None:
+        """Poll a worker and execute the orders that follow."""
         sent_s = self.clock.now()
         self.clock.advance(0.001)
         report = WorkerReport(
-            born_ms,
+            started_ms,
             0,
             tuple(
-                RunningRow(task, run, checkpoint, 50, 1.0)
+                ReportedRun(task, run, checkpoint, 50, 1.0)
                 for (task, run), checkpoint in self.running[worker_id].items()
             ),
-            tuple(self.ends.get(worker_id, ())),
+            tuple(self.listed_ends.get(worker_id, ())),
         )
-        self.obey(self.scheduler.note_report(worker_id, report, sent_s))
+        self.execute(self.scheduler.process_report(worker_id, report, sent_s))
 
-    def look_at_all(self) -> None:
-        """Let every worker report."""
+    def poll_all(self) -> None:
+        """Poll every worker."""
         for entry in self.entries:
-            self.look(entry.worker_id)
+            self.poll(entry.worker_id)
 
-    def obey(self, orders: Iterable[Order]) -> None:
-        """Carry orders out."""
+    def execute(self, orders: Iterable[Order]) -> None:
+        """Execute starts and stops, queue requests for advice, and ignore paces."""
         for order in orders:
             if isinstance(order, StartRun):
                 self.starts.append(order)
                 key = (order.task, order.run)
                 self.running[order.worker_id][key] = order.checkpoint
-                self.obey(self.scheduler.note_start(order, StartOutcome.STARTED))
+                self.execute(
+                    self.scheduler.note_start_outcome(order, StartOutcome.STARTED)
+                )
             elif isinstance(order, StopRun):
                 self.stops.append(order)
                 if (order.task, order.run) in self.running[order.worker_id]:
-                    self.end(order.worker_id, order.task, order.run, EndKind.STOPPED)
-                self.scheduler.note_stopped(order)
-            elif isinstance(order, AskAdvice):
-                self.asked.append(order)
+                    self.end_run(
+                        order.worker_id, order.task, order.run, EndKind.STOPPED
+                    )
+                self.scheduler.note_stop_acknowledged(order)
+            elif isinstance(order, RequestAdvice):
+                self.advice_requests.append(order)
 
     def plan(self) -> list[Order]:
-        """Plan once without carrying the orders out."""
+        """Plan once without executing the orders."""
         return self.planner.plan(LANES)
 
-    def run_plan(self) -> None:
-        """Plan once and carry the orders out."""
-        self.obey(self.plan())
+    def plan_and_execute(self) -> None:
+        """Plan once and execute the orders."""
+        self.execute(self.plan())
 
     def answer_advice(self, granted: Iterable[str] | None = None) -> None:
-        """Grant what was asked for, or only some workers."""
-        asked, self.asked = self.asked, []
-        for order in asked:
+        """Answer all advice requests by granting all workers, or those in `granted`."""
+        requests, self.advice_requests = self.advice_requests, []
+        for order in requests:
             allowed = order.worker_ids if granted is None else tuple(granted)
-            tickets = {item: "t" for item in order.worker_ids if item in allowed}
-            self.scheduler.note_advice(order, tickets, 2.0)
+            tickets = {
+                worker_id: "t" for worker_id in order.worker_ids if worker_id in allowed
+            }
+            self.scheduler.process_advice(order, tickets, 2.0)
 
-    def end(
+    def end_run(
         self,
         worker_id: str,
         task: TaskName,
@@ -205,14 +224,14 @@
         kind: EndKind = EndKind.DONE,
         checkpoint: str = "",
     ) -> None:
-        """Let a run end; the next look tells of it."""
+        """End a run; the next poll of its worker reports the end."""
         del self.running[worker_id][task, run]
-        rows = self.ends.setdefault(worker_id, [])
-        rows.append(EndedRow(len(rows) + 1, task, run, kind, checkpoint))
+        ends = self.listed_ends.setdefault(worker_id, [])
+        ends.append(ReportedEnd(len(ends) + 1, task, run, kind, checkpoint))
 
-    def end_all(self, kind: EndKind = EndKind.DONE) -> None:
-        """Let everything that runs end, and look."""
+    def end_all_runs(self, kind: EndKind = EndKind.DONE) -> None:
+        """End all runs, and poll every worker."""
         for worker_id, runs in self.running.items():
             for task, run in list(runs):
-                self.end(worker_id, task, run, kind)
-        self.look_at_all()
+                self.end_run(worker_id, task, run, kind)
+        self.poll_all()
