--- a/src/fuchsiadale/config/folder.py
+++ b/src/fuchsiadale/config/folder.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.config.located import (
+from fuchsiadale.config.documents import (
     Located,
     Location,
     Problem,
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.config.located import Located, Location, Problem
+from fuchsiadale.config.documents import Located, Location, Problem
 
 BODY = "body"
 
--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-from fuchsiadale.config.located import Located, Problem
+from fuchsiadale.config.documents import Located, Problem
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 
--- a/src/fuchsiadale/config/settings.py
+++ b/src/fuchsiadale/config/settings.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 from result import Err, Ok, Result
 
-from fuchsiadale.config.located import Location, Problem, SourceFile, parse
+from fuchsiadale.config.documents import Location, Problem, SourceFile, parse
 from fuchsiadale.config.reader import Reader
 
 DRAIN_LIMIT_DEFAULT_S = 60.0
--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -9,8 +9,8 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
+from fuchsiadale.config.documents import Located, Problem, SourceFile
 from fuchsiadale.config.json_body import parse_json
-from fuchsiadale.config.located import Located, Problem, SourceFile
 from fuchsiadale.config.model import Configuration
 from fuchsiadale.config.reader import Reader
 from fuchsiadale.decision.errors import ErrorKind, Refusal
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -11,8 +11,8 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.codec import decode, encode
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.folder import check_change, read_configuration
-from fuchsiadale.config.located import SourceFile
 from fuchsiadale.config.model import (
     ConfigDocument,
     Configuration,
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -8,8 +8,8 @@
 from attrs import frozen
 from result import Err, Ok, Result
 
+from fuchsiadale.config.documents import Problem
 from fuchsiadale.config.json_body import parse_json
-from fuchsiadale.config.located import Problem
 from fuchsiadale.config.model import Configuration, QueueConfig
 from fuchsiadale.config.reader import Reader
 from fuchsiadale.decision.constants import MAX_JOB_TASKS, MAX_PAYLOAD_BYTES
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from attrs import frozen
 
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.folder import list_files
-from fuchsiadale.config.located import SourceFile
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.entry.daemon import EntryDaemon
 from fuchsiadale.loop_clock import LoopClock
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -7,7 +7,7 @@
 
 from attrs import evolve
 
-from fuchsiadale.config.located import SourceFile
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.entry.node import EntryNode, Platform
--- a/tests/test_config_files.py
+++ b/tests/test_config_files.py
@@ -10,8 +10,8 @@
 import pytest
 from result import Err
 
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.folder import list_files, read_configuration
-from fuchsiadale.config.located import SourceFile
 from fuchsiadale.config.settings import read_settings
 
 DATA = Path(__file__).parent / "data"
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 from result import Ok
 
-from fuchsiadale.config.located import SourceFile
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.decision.errors import ErrorKind
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from fuchsiadale.config.located import SourceFile
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.decision.grants import (
     TeamGrants,
     adopt_limit,
