--- a/src/fuchsiadale/cli/client.py
+++ b/src/fuchsiadale/cli/client.py
@@ -55,9 +55,9 @@
         idempotency_key: str = "",
     ) -> Reply:
         """Make one call and wait for its answer."""
-        return asyncio.run(self.acall(method, path, body, idempotency_key))
+        return asyncio.run(self.call_async(method, path, body, idempotency_key))
 
-    async def acall(
+    async def call_async(
         self,
         method: str,
         path: str,
--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -45,14 +45,16 @@
         The caller's key is kept for the runs that follow.
         """
         files = {source.name: source.text for source in self._system.files()}
-        applied = await self._admin.acall("PUT", "/admin/v1/config", {"files": files})
+        applied = await self._admin.call_async(
+            "PUT", "/admin/v1/config", {"files": files}
+        )
         if not applied.is_ok:
             return str(applied.body)
-        shown = await self._admin.acall("GET", "/admin/v1/config")
+        shown = await self._admin.call_async("GET", "/admin/v1/config")
         team = next(iter(shown.body["configuration"]["teams"]), None)
         if team is None:
             return "the configuration has no team"
-        key = await self._admin.acall("POST", "/admin/v1/keys", {"team": team})
+        key = await self._admin.call_async("POST", "/admin/v1/keys", {"team": team})
         if not key.is_ok:
             return str(key.body)
         self._caller = EntryClient(self._system.url, key.body["key"])
@@ -61,7 +63,9 @@
     async def run(self) -> list[DemoRow]:
         """Run a request, a batch, a gang and a service."""
         body: dict[str, Any] = {"program": "echo", "payload": "crest"}
-        answer = await self._caller.acall("POST", "/v1/queues/proofs/requests", body)
+        answer = await self._caller.call_async(
+            "POST", "/v1/queues/proofs/requests", body
+        )
         rows = [_request_row(answer)]
         sleep = {"program": "sleep", "payload": '{"run_s": 0.1, "answer": "done"}'}
         rows.append(
@@ -74,7 +78,7 @@
 
     async def _wait_until_ready(self) -> str | None:
         for _ in range(int(READY_LIMIT_S / READY_POLL_S)):
-            ready = await self._admin.acall("GET", "/readyz")
+            ready = await self._admin.call_async("GET", "/readyz")
             if ready.is_ok:
                 return None
             await asyncio.sleep(READY_POLL_S)
@@ -82,19 +86,21 @@
 
     async def _run_job(self, body: dict[str, Any], until: str) -> DemoRow:
         """Submit a job and wait until it is final, or until all its tasks run."""
-        submitted = await self._caller.acall("POST", "/v1/queues/proofs/jobs", body)
+        submitted = await self._caller.call_async(
+            "POST", "/v1/queues/proofs/jobs", body
+        )
         if not submitted.is_ok:
             return DemoRow(body["kind"], str(submitted.body), "-", 0.0)
         path = f"/v1/jobs/{submitted.body['work_id']}"
         shown = submitted
         for _ in range(int(JOB_LIMIT_S / READY_POLL_S)):
-            shown = await self._caller.acall("GET", path)
+            shown = await self._caller.call_async("GET", path)
             states = {task["state"] for task in shown.body["tasks"]}
             if (until == "final" and shown.body["final"]) or states == {until}:
                 break
             await asyncio.sleep(READY_POLL_S)
         if until == "running":
-            await self._caller.acall("POST", f"{path}/cancel")
+            await self._caller.call_async("POST", f"{path}/cancel")
         return _job_row(shown.body)
 
 
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -9,7 +9,7 @@
 
 from fuchsiadale.cell.explain import story_of
 from fuchsiadale.cli.exits import ExitCode
-from fuchsiadale.cli.output import fail
+from fuchsiadale.cli.output import exit_with_error
 
 
 @click.command()
@@ -23,6 +23,6 @@
     lines = [line for log in logs or (sys.stdin,) for line in log]
     story = story_of(job_id, lines)
     if not story:
-        fail(f"no line names job {job_id}", ExitCode.REFUSED)
+        exit_with_error(f"no line names job {job_id}", ExitCode.REFUSED)
     for line in story:
         click.echo(str(line))
--- a/src/fuchsiadale/cli/jobs.py
+++ b/src/fuchsiadale/cli/jobs.py
@@ -11,10 +11,10 @@
 from fuchsiadale.cli.operators import ENTRY_OPTION
 from fuchsiadale.cli.output import (
     OUTPUT_OPTION,
-    fail,
+    exit_with_error,
+    get_body_or_exit,
     print_json,
     print_table,
-    require_ok,
 )
 
 LONGEST_WAIT_S = 30.0
@@ -80,7 +80,7 @@
     reply = EntryClient(url, key).call(
         "POST", f"/v1/queues/{queue}/jobs", body, idempotency_key
     )
-    found = require_ok(reply)
+    found = get_body_or_exit(reply)
     if output == "json":
         print_json(found)
     else:
@@ -95,7 +95,8 @@
 def show_job(work_id: str, url: str, key: str, output: str) -> None:
     """Show a job and its tasks."""
     _print_job(
-        require_ok(EntryClient(url, key).call("GET", f"/v1/jobs/{work_id}")), output
+        get_body_or_exit(EntryClient(url, key).call("GET", f"/v1/jobs/{work_id}")),
+        output,
     )
 
 
@@ -114,15 +115,17 @@
     while True:
         wait_s = min(left_s, LONGEST_WAIT_S)
         path = f"/v1/jobs/{work_id}?wait_s={wait_s:g}"
-        body = require_ok(client.call("GET", path))
+        body = get_body_or_exit(client.call("GET", path))
         left_s -= wait_s
         if body["final"] or left_s <= 0:
             break
     _print_job(body, output)
     if not body["final"]:
-        fail(f"job {work_id} has not ended", ExitCode.WORK_FAILED)
+        exit_with_error(f"job {work_id} has not ended", ExitCode.WORK_FAILED)
     if any(task["state"] != "succeeded" for task in body["tasks"]):
-        fail(f"not every task of job {work_id} succeeded", ExitCode.WORK_FAILED)
+        exit_with_error(
+            f"not every task of job {work_id} succeeded", ExitCode.WORK_FAILED
+        )
 
 
 @job.command("cancel")
@@ -133,7 +136,7 @@
 def cancel_job(work_id: str, url: str, key: str, output: str) -> None:
     """End a job; what has not started never runs."""
     reply = EntryClient(url, key).call("POST", f"/v1/jobs/{work_id}/cancel")
-    _print_job(require_ok(reply), output)
+    _print_job(get_body_or_exit(reply), output)
 
 
 @job.command("list")
@@ -142,7 +145,7 @@
 @OUTPUT_OPTION
 def list_jobs(url: str, key: str, output: str) -> None:
     """List the team's jobs."""
-    body = require_ok(EntryClient(url, key).call("GET", "/v1/jobs"))
+    body = get_body_or_exit(EntryClient(url, key).call("GET", "/v1/jobs"))
     if output == "json":
         print_json(body)
         return
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -15,8 +15,8 @@
 from fuchsiadale.cli.explain import explain
 from fuchsiadale.cli.jobs import job
 from fuchsiadale.cli.operators import config, keys, partition, team, worker
-from fuchsiadale.cli.output import fail, print_table
-from fuchsiadale.cli.serving import serve_until_stopped, stop_event
+from fuchsiadale.cli.output import exit_with_error, print_table
+from fuchsiadale.cli.serving import create_stop_event, serve_until_stopped
 from fuchsiadale.config.settings import Address, Settings, read_settings_file
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.entry.daemon import EntryDaemon
@@ -54,7 +54,7 @@
     settings = read_settings_file(settings_file)
     if isinstance(settings, Err):
         lines = [str(problem) for problem in settings.err_value]
-        fail("\n".join(lines), ExitCode.INVALID)
+        exit_with_error("\n".join(lines), ExitCode.INVALID)
     log_to_stderr()
     asyncio.run(_serve_entry(settings.ok_value))
 
@@ -124,12 +124,16 @@
     try:
         daemon = EntryDaemon(settings)
     except RuntimeError as error:
-        fail(f"cannot listen on {settings.peers}: {error}", ExitCode.CANNOT_LISTEN)
+        exit_with_error(
+            f"cannot listen on {settings.peers}: {error}", ExitCode.CANNOT_LISTEN
+        )
     try:
         await daemon.start()
     except OSError as error:
         await daemon.stop()
-        fail(f"cannot listen on {settings.callers}: {error}", ExitCode.CANNOT_LISTEN)
+        exit_with_error(
+            f"cannot listen on {settings.callers}: {error}", ExitCode.CANNOT_LISTEN
+        )
     await serve_until_stopped(daemon)
 
 
@@ -137,7 +141,7 @@
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
-    await stop_event().wait()
+    await create_stop_event().wait()
     await runner.cleanup()
 
 
@@ -151,7 +155,7 @@
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
     await stand_in_server.register(platform_url, f"http://{LOOPBACK}:{port}")
-    await stop_event().wait()
+    await create_stop_event().wait()
     await runner.cleanup()
 
 
@@ -172,7 +176,7 @@
         if serve:
             click.echo(f"serving on {system.url}", err=True)
             click.echo(f"operator's key: {system.admin_key}", err=True)
-            await stop_event().wait()
+            await create_stop_event().wait()
     finally:
         await system.stop()
     states = [row.state for row in rows]
--- a/src/fuchsiadale/cli/operators.py
+++ b/src/fuchsiadale/cli/operators.py
@@ -12,12 +12,12 @@
 from fuchsiadale.cli.exits import ExitCode
 from fuchsiadale.cli.output import (
     OUTPUT_OPTION,
-    fail,
+    exit_with_error,
+    get_body_or_exit,
     print_json,
     print_table,
-    require_ok,
 )
-from fuchsiadale.config.folder import list_files, read_configuration
+from fuchsiadale.config.folder import read_configuration, read_yaml_files
 
 ENTRY_OPTION = click.option(
     "--entry",
@@ -48,10 +48,10 @@
 @FOLDER_ARGUMENT
 def check_config(folder: Path) -> None:
     """Check the files of FOLDER, merged in the order of their names."""
-    checked = read_configuration(list_files(folder))
+    checked = read_configuration(read_yaml_files(folder))
     if isinstance(checked, Err):
         lines = [str(problem) for problem in checked.err_value]
-        fail("\n".join(lines), ExitCode.INVALID)
+        exit_with_error("\n".join(lines), ExitCode.INVALID)
     found = checked.ok_value
     click.echo(
         f"ok: {len(found.teams)} teams, {len(found.pools)} pools,"
@@ -71,12 +71,12 @@
 def apply_config(folder: Path, base_version: int | None, url: str, key: str) -> None:
     """Put the files of FOLDER in force."""
     body: dict[str, Any] = {
-        "files": {source.name: source.text for source in list_files(folder)}
+        "files": {source.name: source.text for source in read_yaml_files(folder)}
     }
     if base_version is not None:
         body["base_version"] = base_version
     reply = EntryClient(url, key).call("PUT", "/admin/v1/config", body)
-    click.echo(f"version {require_ok(reply)['version']} is in force")
+    click.echo(f"version {get_body_or_exit(reply)['version']} is in force")
 
 
 @config.command("show")
@@ -85,7 +85,7 @@
 @OUTPUT_OPTION
 def show_config(url: str, key: str, output: str) -> None:
     """Show the configuration in force."""
-    body = require_ok(EntryClient(url, key).call("GET", "/admin/v1/config"))
+    body = get_body_or_exit(EntryClient(url, key).call("GET", "/admin/v1/config"))
     if output == "json":
         print_json(body)
         return
@@ -116,7 +116,7 @@
 @OUTPUT_OPTION
 def create_key(team: str, url: str, key: str, output: str) -> None:
     """Give TEAM a new key; it is shown only now."""
-    body = require_ok(
+    body = get_body_or_exit(
         EntryClient(url, key).call("POST", "/admin/v1/keys", {"team": team})
     )
     if output == "json":
@@ -133,7 +133,7 @@
 def withdraw_key(key_id: str, url: str, key: str) -> None:
     """Take the key with id KEY_ID out of force."""
     reply = EntryClient(url, key).call("DELETE", f"/admin/v1/keys/{key_id}")
-    click.echo(f"withdrawn by version {require_ok(reply)['version']}")
+    click.echo(f"withdrawn by version {get_body_or_exit(reply)['version']}")
 
 
 @click.group()
@@ -148,7 +148,9 @@
 @OUTPUT_OPTION
 def show_team(name: str, url: str, key: str, output: str) -> None:
     """Show the share, limit, grants and usage of the team NAME."""
-    body = require_ok(EntryClient(url, key).call("GET", f"/admin/v1/teams/{name}"))
+    body = get_body_or_exit(
+        EntryClient(url, key).call("GET", f"/admin/v1/teams/{name}")
+    )
     if output == "json":
         print_json(body)
         return
@@ -168,7 +170,7 @@
 @OUTPUT_OPTION
 def list_partitions(url: str, key: str, output: str) -> None:
     """List the partitions and their owners."""
-    body = require_ok(EntryClient(url, key).call("GET", "/admin/v1/partitions"))
+    body = get_body_or_exit(EntryClient(url, key).call("GET", "/admin/v1/partitions"))
     if output == "json":
         print_json(body)
         return
@@ -188,7 +190,7 @@
 @OUTPUT_OPTION
 def list_workers(url: str, key: str, output: str) -> None:
     """List the workers with their state and free room."""
-    body = require_ok(EntryClient(url, key).call("GET", "/admin/v1/workers"))
+    body = get_body_or_exit(EntryClient(url, key).call("GET", "/admin/v1/workers"))
     if output == "json":
         print_json(body)
         return
--- a/src/fuchsiadale/cli/output.py
+++ b/src/fuchsiadale/cli/output.py
@@ -38,23 +38,23 @@
         click.echo("  ".join(cells).rstrip())
 
 
-def fail(message: str, code: ExitCode) -> NoReturn:
+def exit_with_error(message: str, code: ExitCode) -> NoReturn:
     """Print a message and end with an exit code."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
-def require_ok(reply: Reply) -> Any:
+def get_body_or_exit(reply: Reply) -> Any:
     """Return the body of a granted call, or end with what went wrong."""
     if reply.is_ok:
         return reply.body
     if reply.status == 0:
-        fail(str(reply.body), ExitCode.UNREACHABLE)
+        exit_with_error(str(reply.body), ExitCode.UNREACHABLE)
     body = reply.body if isinstance(reply.body, dict) else {}
     kind = body.get("error", f"status {reply.status}")
     message = body.get("message", "")
     code = ExitCode.INVALID if kind == "config_invalid" else ExitCode.REFUSED
-    fail(f"{kind}: {message}", code)
+    exit_with_error(f"{kind}: {message}", code)
 
 
 def _text(cell: Any) -> str:
--- a/src/fuchsiadale/cli/serving.py
+++ b/src/fuchsiadale/cli/serving.py
@@ -13,7 +13,7 @@
 
     A second signal, or the settings' drain limit, ends it at once.
     """
-    stop = stop_event()
+    stop = create_stop_event()
     await stop.wait()
     stop.clear()
     draining = asyncio.ensure_future(daemon.drain())
@@ -28,7 +28,7 @@
     await daemon.stop()
 
 
-def stop_event() -> asyncio.Event:
+def create_stop_event() -> asyncio.Event:
     """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/src/fuchsiadale/config/documents.py
+++ b/src/fuchsiadale/config/documents.py
@@ -48,7 +48,7 @@
 
 
 @define
-class Located:
+class DocumentNode:
     """A value of a document: a scalar, a list or a mapping.
 
     Attributes
@@ -59,20 +59,20 @@
         The field's name, dotted from the top of the document.
     scalar : object
         The value, for a scalar.
-    items : list of Located or None
+    items : list of DocumentNode or None
         The items, for a list.
-    fields : dict of str to Located or None
+    fields : dict of str to DocumentNode or None
         The fields, for a mapping.
     """
 
     location: Location
     path: str
     scalar: object = None
-    items: list[Located] | None = None
-    fields: dict[str, Located] | None = field(default=None)
+    items: list[DocumentNode] | None = None
+    fields: dict[str, DocumentNode] | None = field(default=None)
 
 
-def parse(source: SourceFile) -> Result[Located, list[Problem]]:
+def parse_yaml(source: SourceFile) -> Result[DocumentNode, list[Problem]]:
     """Return the document of a YAML file."""
     try:
         node = yaml.compose(source.text, Loader=yaml.SafeLoader)
@@ -83,7 +83,7 @@
     except yaml.YAMLError as error:
         return Err([Problem(Location(source.name, 1), "", str(error))])
     if node is None:
-        return Ok(Located(Location(source.name, 1), "", fields={}))
+        return Ok(DocumentNode(Location(source.name, 1), "", fields={}))
     problems: list[Problem] = []
     document = _convert(node, source.name, "", problems)
     if document.fields is None:
@@ -91,15 +91,15 @@
     return Err(problems) if problems else Ok(document)
 
 
-def merge(documents: Iterable[Located]) -> Located:
+def merge_documents(documents: Iterable[DocumentNode]) -> DocumentNode:
     """Return one document; a later one's scalars and lists replace earlier ones."""
-    merged = Located(Location("", 1), "", fields={})
+    merged = DocumentNode(Location("", 1), "", fields={})
     for document in documents:
         _merge_into(merged, document)
     return merged
 
 
-def _merge_into(target: Located, source: Located) -> None:
+def _merge_into(target: DocumentNode, source: DocumentNode) -> None:
     if target.fields is None or source.fields is None:
         target.scalar = source.scalar
         target.items = source.items
@@ -115,29 +115,31 @@
             _merge_into(existing, value)
 
 
-def _convert(node: yaml.Node, file: str, path: str, problems: list[Problem]) -> Located:
+def _convert(
+    node: yaml.Node, file: str, path: str, problems: list[Problem]
+) -> DocumentNode:
     location = Location(file, node.start_mark.line + 1)
     if isinstance(node, yaml.MappingNode):
-        fields: dict[str, Located] = {}
+        fields: dict[str, DocumentNode] = {}
         for name, value in _pairs(node):
             inner = f"{path}.{name}" if path else name
             if name in fields:
                 line = value.start_mark.line + 1
                 problems.append(Problem(Location(file, line), inner, "given twice"))
             fields[name] = _convert(value, file, inner, problems)
-        return Located(location, path, fields=fields)
+        return DocumentNode(location, path, fields=fields)
     if isinstance(node, yaml.SequenceNode):
         items = [
             _convert(item, file, f"{path}[{index}]", problems)
             for index, item in enumerate(node.value)
         ]
-        return Located(location, path, items=items)
+        return DocumentNode(location, path, items=items)
     try:
         scalar = yaml.SafeLoader("").construct_object(node)
     except (yaml.YAMLError, ValueError) as error:
         problems.append(Problem(location, path, f"not a value: {error}"))
         scalar = None
-    return Located(location, path, scalar=scalar)
+    return DocumentNode(location, path, scalar=scalar)
 
 
 def _pairs(node: yaml.MappingNode) -> Iterator[tuple[str, yaml.Node]]:
--- a/src/fuchsiadale/config/folder.py
+++ b/src/fuchsiadale/config/folder.py
@@ -8,12 +8,12 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.config.documents import (
-    Located,
+    DocumentNode,
     Location,
     Problem,
     SourceFile,
-    merge,
-    parse,
+    merge_documents,
+    parse_yaml,
 )
 from fuchsiadale.config.model import (
     Configuration,
@@ -21,7 +21,7 @@
     QueueConfig,
     TeamConfig,
 )
-from fuchsiadale.config.reader import Reader
+from fuchsiadale.config.reader import MappingReader
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.resources import (
     MB_PER_GB,
@@ -35,7 +35,7 @@
 MAX_SHARE = 1_000_000.0
 
 
-def list_files(folder: Path) -> list[SourceFile]:
+def read_yaml_files(folder: Path) -> list[SourceFile]:
     """Return the YAML files of a folder in the order of their names."""
     paths = sorted(path for path in folder.iterdir() if path.suffix == ".yaml")
     return [SourceFile(path.name, path.read_text("utf-8")) for path in paths]
@@ -51,10 +51,10 @@
     Result
         The configuration, or everything that is wrong with it.
     """
-    documents: list[Located] = []
+    documents: list[DocumentNode] = []
     problems: list[Problem] = []
     for source in files:
-        parsed = parse(source)
+        parsed = parse_yaml(source)
         if isinstance(parsed, Err):
             problems.extend(parsed.err_value)
         else:
@@ -63,19 +63,24 @@
         problems.append(Problem(Location("(folder)", 1), "", "has no .yaml file"))
     if problems:
         return Err(problems)
-    top = Reader(merge(documents), problems)
+    top = MappingReader(merge_documents(documents), problems)
     configuration = Configuration(
-        teams={name: _team(reader) for name, reader in top.named_mappings("teams")},
-        pools={name: _pool(reader) for name, reader in top.named_mappings("pools")},
+        teams={
+            name: _team(reader) for name, reader in top.read_named_mappings("teams")
+        },
+        pools={
+            name: _pool(reader) for name, reader in top.read_named_mappings("pools")
+        },
         queues={
-            name: _queue(reader, top) for name, reader in top.named_mappings("queues")
+            name: _queue(reader, top)
+            for name, reader in top.read_named_mappings("queues")
         },
     )
-    top.finish()
+    top.report_unknown_fields()
     return Err(sorted(problems)) if problems else Ok(configuration)
 
 
-def check_change(old: Configuration, new: Configuration) -> list[str]:
+def find_forbidden_changes(old: Configuration, new: Configuration) -> list[str]:
     """Return why a configuration may not follow another one."""
     messages: list[str] = []
     for name, pool in old.pools.items():
@@ -88,79 +93,79 @@
     return messages
 
 
-def _team(reader: Reader) -> TeamConfig:
-    share = reader.number("share", 1.0, 0.001, MAX_SHARE)
-    limit_reader = reader.mapping("limit")
+def _team(reader: MappingReader) -> TeamConfig:
+    share = reader.read_number("share", 1.0, 0.001, MAX_SHARE)
+    limit_reader = reader.read_mapping("limit")
     limit = TeamConfig().limit
     if limit_reader is not None:
         limit = _limit(limit_reader)
-    reader.finish()
+    reader.report_unknown_fields()
     return TeamConfig(share, limit)
 
 
-def _limit(reader: Reader) -> Resources:
+def _limit(reader: MappingReader) -> Resources:
     most = float(UNLIMITED_AMOUNT)
-    cores = reader.number("cores", most, 0.0, most)
-    memory_gb = reader.number("memory_gb", most, 0.0, most)
+    cores = reader.read_number("cores", most, 0.0, most)
+    memory_gb = reader.read_number("memory_gb", most, 0.0, most)
     limit = Resources(
         cpu_millis=min(int(cores * MILLIS_PER_CORE), UNLIMITED_AMOUNT),
         memory_mb=min(int(memory_gb * MB_PER_GB), UNLIMITED_AMOUNT),
-        accelerators=reader.integer(
+        accelerators=reader.read_integer(
             "accelerators", UNLIMITED_AMOUNT, 0, UNLIMITED_AMOUNT
         ),
-        slots=reader.integer("tasks", UNLIMITED_AMOUNT, 0, UNLIMITED_AMOUNT),
+        slots=reader.read_integer("tasks", UNLIMITED_AMOUNT, 0, UNLIMITED_AMOUNT),
         connections=UNLIMITED_AMOUNT,
     )
-    reader.finish()
+    reader.report_unknown_fields()
     return limit
 
 
-def _pool(reader: Reader) -> PoolConfig:
+def _pool(reader: MappingReader) -> PoolConfig:
     order = OrderWeights()
-    order_reader = reader.mapping("order")
+    order_reader = reader.read_mapping("order")
     if order_reader is not None:
         order = OrderWeights(
-            share=order_reader.number("share", 1.0, 0.0, 1000.0),
-            waiting=order_reader.number("waiting", 0.0, 0.0, 1000.0),
+            share=order_reader.read_number("share", 1.0, 0.0, 1000.0),
+            waiting=order_reader.read_number("waiting", 0.0, 0.0, 1000.0),
         )
         if order == OrderWeights(0.0, 0.0):
-            order_reader.complain("one of share and waiting must be above 0")
-        order_reader.finish()
+            order_reader.add_problem("one of share and waiting must be above 0")
+        order_reader.report_unknown_fields()
     pool = PoolConfig(
-        slices=reader.integer("slices", 1, 1, MAX_SLICES),
+        slices=reader.read_integer("slices", 1, 1, MAX_SLICES),
         order=order,
-        fencing=reader.boolean("fencing", True),
+        fencing=reader.read_boolean("fencing", True),
     )
-    reader.finish()
+    reader.report_unknown_fields()
     return pool
 
 
-def _queue(reader: Reader, top: Reader) -> QueueConfig:
+def _queue(reader: MappingReader, top: MappingReader) -> QueueConfig:
     kinds: list[WorkKind] = []
-    for text in reader.texts("kinds"):
+    for text in reader.read_text_list("kinds"):
         try:
             kinds.append(WorkKind(text))
         except ValueError:
             known = ", ".join(kind.value for kind in WorkKind)
-            reader.complain(f"{text!r} is not a kind; known are {known}", "kinds")
+            reader.add_problem(f"{text!r} is not a kind; known are {known}", "kinds")
     queue = QueueConfig(
-        pool=reader.text("pool"),
-        open=reader.boolean("open", False),
-        teams=tuple(reader.texts("teams")),
+        pool=reader.read_text("pool"),
+        open=reader.read_boolean("open", False),
+        teams=tuple(reader.read_text_list("teams")),
         kinds=tuple(kinds) or tuple(WorkKind),
-        urgent=reader.boolean("urgent", True),
+        urgent=reader.read_boolean("urgent", True),
     )
     if queue.pool and queue.pool not in _names(top, "pools"):
-        reader.complain(f"there is no pool {queue.pool!r}", "pool")
+        reader.add_problem(f"there is no pool {queue.pool!r}", "pool")
     teams = _names(top, "teams")
     for team in queue.teams:
         if team not in teams:
-            reader.complain(f"there is no team {team!r}", "teams")
-    reader.finish()
+            reader.add_problem(f"there is no team {team!r}", "teams")
+    reader.report_unknown_fields()
     return queue
 
 
-def _names(top: Reader, name: str) -> set[str]:
+def _names(top: MappingReader, name: str) -> set[str]:
     node = (top.node.fields or {}).get(name)
     if node is None or node.fields is None:
         return set()
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -6,12 +6,12 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.config.documents import Located, Location, Problem
+from fuchsiadale.config.documents import DocumentNode, Location, Problem
 
 BODY = "body"
 
 
-def parse_json(body: bytes) -> Result[Located, list[Problem]]:
+def parse_json_object(body: bytes) -> Result[DocumentNode, list[Problem]]:
     """Return the document of a JSON body, which must be an object."""
     try:
         value = json.loads(body)
@@ -22,17 +22,17 @@
     return Ok(_locate(value, ""))
 
 
-def _locate(value: object, path: str) -> Located:
+def _locate(value: object, path: str) -> DocumentNode:
     location = Location(BODY, 1)
     if isinstance(value, dict):
         fields = {
             name: _locate(inner, f"{path}.{name}" if path else name)
             for name, inner in value.items()
         }
-        return Located(location, path, fields=fields)
+        return DocumentNode(location, path, fields=fields)
     if isinstance(value, list):
         items = [
             _locate(inner, f"{path}[{index}]") for index, inner in enumerate(value)
         ]
-        return Located(location, path, items=items)
-    return Located(location, path, scalar=value)
+        return DocumentNode(location, path, items=items)
+    return DocumentNode(location, path, scalar=value)
--- a/src/fuchsiadale/config/model.py
+++ b/src/fuchsiadale/config/model.py
@@ -110,14 +110,14 @@
     configuration: Configuration
     keys: dict[str, KeyRecord] = field(factory=dict)
 
-    def team_of_key(self, key: str) -> str | None:
+    def find_team_by_key(self, key: str) -> str | None:
         """Return the team that a key belongs to, or None if it is not in force."""
         parts = key.split("_")
         if len(parts) != 3 or parts[0] != "fd":
             return None
         record = self.keys.get(parts[1])
-        digest = digest_of(parts[2])
-        expected = record.sha256 if record is not None else digest_of("")
+        digest = hash_secret(parts[2])
+        expected = record.sha256 if record is not None else hash_secret("")
         matches = hmac.compare_digest(digest, expected)
         return record.team if record is not None and matches else None
 
@@ -131,14 +131,14 @@
     record: KeyRecord
 
 
-def make_key(team: str) -> NewKey:
+def generate_key(team: str) -> NewKey:
     """Return a new random key of a team."""
     key_id = secrets.token_hex(6)
     secret = secrets.token_hex(KEY_SECRET_BYTES)
-    record = KeyRecord(team, digest_of(secret))
+    record = KeyRecord(team, hash_secret(secret))
     return NewKey(key_id, f"fd_{key_id}_{secret}", record)
 
 
-def digest_of(secret: str) -> str:
+def hash_secret(secret: str) -> str:
     """Return the digest by which a secret is kept."""
     return hashlib.sha256(secret.encode()).hexdigest()
--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -5,12 +5,12 @@
 import re
 from collections.abc import Iterator
 
-from fuchsiadale.config.documents import Located, Problem
+from fuchsiadale.config.documents import DocumentNode, Problem
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 
 
-class Reader:
+class MappingReader:
     """Reads the fields of one mapping.
 
     A field that is missing or of the wrong type is noted as a problem, and its
@@ -18,25 +18,25 @@
 
     Parameters
     ----------
-    node : Located
+    node : DocumentNode
         The mapping.
     problems : list of Problem
         Takes what is wrong.
     """
 
-    def __init__(self, node: Located, problems: list[Problem]) -> None:
+    def __init__(self, node: DocumentNode, problems: list[Problem]) -> None:
         self._node = node
         self._problems = problems
         self._known: set[str] = set()
         if node.fields is None:
-            self.complain("must be a mapping")
+            self.add_problem("must be a mapping")
 
     @property
-    def node(self) -> Located:
+    def node(self) -> DocumentNode:
         """The mapping that is read."""
         return self._node
 
-    def complain(self, message: str, name: str = "") -> None:
+    def add_problem(self, message: str, name: str = "") -> None:
         """Note a problem of the mapping or of one of its fields."""
         node = self._fields().get(name, self._node)
         path = node.path
@@ -44,68 +44,70 @@
             path = f"{self._node.path}.{name}" if self._node.path else name
         self._problems.append(Problem(node.location, path, message))
 
-    def text(self, name: str, default: str | None = None) -> str:
+    def read_text(self, name: str, default: str | None = None) -> str:
         """Return a text field; it is required if there is no default."""
         node = self._find(name, required=default is None)
         if node is None:
             return default or ""
         if not isinstance(node.scalar, str):
-            self.complain("must be text", name)
+            self.add_problem("must be text", name)
             return default or ""
         return node.scalar
 
-    def name(self, name: str, default: str | None = None) -> str:
+    def read_name(self, name: str, default: str | None = None) -> str:
         """Return a field that holds a name."""
-        value = self.text(name, default)
+        value = self.read_text(name, default)
         if value and not NAME_PATTERN.fullmatch(value):
-            self.complain("must be lower-case letters, digits and hyphens", name)
+            self.add_problem("must be lower-case letters, digits and hyphens", name)
         return value
 
-    def integer(self, name: str, default: int, least: int, most: int) -> int:
+    def read_integer(self, name: str, default: int, least: int, most: int) -> int:
         """Return a whole number within bounds."""
         node = self._find(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int) or isinstance(value, bool):
-            self.complain("must be a whole number", name)
+            self.add_problem("must be a whole number", name)
             return default
         if not least <= value <= most:
-            self.complain(f"must be from {least} to {most}", name)
+            self.add_problem(f"must be from {least} to {most}", name)
             return default
         return value
 
-    def number(self, name: str, default: float, least: float, most: float) -> float:
+    def read_number(
+        self, name: str, default: float, least: float, most: float
+    ) -> float:
         """Return a number within bounds."""
         node = self._find(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int | float) or isinstance(value, bool):
-            self.complain("must be a number", name)
+            self.add_problem("must be a number", name)
             return default
         if not least <= value <= most:
-            self.complain(f"must be from {least:g} to {most:g}", name)
+            self.add_problem(f"must be from {least:g} to {most:g}", name)
             return default
         return float(value)
 
-    def boolean(self, name: str, default: bool) -> bool:
+    def read_boolean(self, name: str, default: bool) -> bool:
         """Return a yes or no."""
         node = self._find(name)
         if node is None:
             return default
         if not isinstance(node.scalar, bool):
-            self.complain("must be true or false", name)
+            self.add_problem("must be true or false", name)
             return default
         return node.scalar
 
-    def texts(self, name: str) -> list[str]:
+    def read_text_list(self, name: str) -> list[str]:
         """Return a list of texts; empty if it is missing."""
         node = self._find(name)
         if node is None:
             return []
         if node.items is None:
-            self.complain("must be a list", name)
+            self.add_problem("must be a list", name)
             return []
         found: list[str] = []
         for item in node.items:
@@ -115,40 +117,40 @@
                 self._problems.append(Problem(item.location, item.path, "must be text"))
         return found
 
-    def mapping(self, name: str) -> Reader | None:
+    def read_mapping(self, name: str) -> MappingReader | None:
         """Return the reader of an inner mapping, or None if it is missing."""
         node = self._find(name)
         if node is None:
             return None
-        return Reader(node, self._problems)
+        return MappingReader(node, self._problems)
 
-    def named_mappings(self, name: str) -> Iterator[tuple[str, Reader]]:
+    def read_named_mappings(self, name: str) -> Iterator[tuple[str, MappingReader]]:
         """Yield the inner mappings of a field, by name."""
         node = self._find(name)
         if node is None:
             return
         if node.fields is None:
-            self.complain("must be a mapping", name)
+            self.add_problem("must be a mapping", name)
             return
         for inner, value in node.fields.items():
-            reader = Reader(value, self._problems)
+            reader = MappingReader(value, self._problems)
             if not NAME_PATTERN.fullmatch(inner):
-                reader.complain("names are lower-case letters, digits and hyphens")
+                reader.add_problem("names are lower-case letters, digits and hyphens")
             yield inner, reader
 
-    def finish(self) -> None:
+    def report_unknown_fields(self) -> None:
         """Complain of every field that was not read."""
         for name in self._fields():
             if name not in self._known:
                 known = ", ".join(sorted(self._known))
-                self.complain(f"unknown field; known are {known}", name)
+                self.add_problem(f"unknown field; known are {known}", name)
 
-    def _fields(self) -> dict[str, Located]:
+    def _fields(self) -> dict[str, DocumentNode]:
         return self._node.fields or {}
 
-    def _find(self, name: str, required: bool = False) -> Located | None:
+    def _find(self, name: str, required: bool = False) -> DocumentNode | None:
         self._known.add(name)
         node = self._fields().get(name)
         if node is None and required:
-            self.complain("is missing", name)
+            self.add_problem("is missing", name)
         return node
--- a/src/fuchsiadale/config/settings.py
+++ b/src/fuchsiadale/config/settings.py
@@ -7,8 +7,8 @@
 from attrs import frozen
 from result import Err, Ok, Result
 
-from fuchsiadale.config.documents import Location, Problem, SourceFile, parse
-from fuchsiadale.config.reader import Reader
+from fuchsiadale.config.documents import Location, Problem, SourceFile, parse_yaml
+from fuchsiadale.config.reader import MappingReader
 
 DRAIN_LIMIT_DEFAULT_S = 60.0
 DRAIN_NOTICE_DEFAULT_S = 2.0
@@ -77,46 +77,46 @@
 
 def read_settings(source: SourceFile) -> Result[Settings, list[Problem]]:
     """Return the settings in a document, or everything that is wrong with them."""
-    parsed = parse(source)
+    parsed = parse_yaml(source)
     if isinstance(parsed, Err):
         return parsed
     problems: list[Problem] = []
-    reader = Reader(parsed.ok_value, problems)
+    reader = MappingReader(parsed.ok_value, problems)
     settings = Settings(
-        host=reader.name("host"),
-        region=reader.name("region", "local"),
-        failure_domain=reader.name("failure_domain"),
+        host=reader.read_name("host"),
+        region=reader.read_name("region", "local"),
+        failure_domain=reader.read_name("failure_domain"),
         callers=_address(reader, "callers"),
         peers=_address(reader, "peers"),
-        platform_url=reader.text("platform_url"),
+        platform_url=reader.read_text("platform_url"),
         statsd=_optional_address(reader, "statsd"),
-        admin_key_sha256=tuple(reader.texts("admin_key_sha256")),
-        drain_notice_s=reader.number(
+        admin_key_sha256=tuple(reader.read_text_list("admin_key_sha256")),
+        drain_notice_s=reader.read_number(
             "drain_notice_s", DRAIN_NOTICE_DEFAULT_S, 0.0, 60.0
         ),
-        drain_limit_s=reader.number(
+        drain_limit_s=reader.read_number(
             "drain_limit_s", DRAIN_LIMIT_DEFAULT_S, 1.0, 3600.0
         ),
     )
     if settings.platform_url and not settings.platform_url.startswith("http"):
-        reader.complain("must begin with http:// or https://", "platform_url")
-    reader.finish()
+        reader.add_problem("must begin with http:// or https://", "platform_url")
+    reader.report_unknown_fields()
     return Err(sorted(problems)) if problems else Ok(settings)
 
 
-def _address(reader: Reader, name: str) -> Address:
-    text = reader.text(name)
+def _address(reader: MappingReader, name: str) -> Address:
+    text = reader.read_text(name)
     ip, separator, port = text.rpartition(":")
     if not text:
         return Address("", 0)
     if not separator or not port.isdigit() or int(port) > 65535:
-        reader.complain("must be <ip>:<port>", name)
+        reader.add_problem("must be <ip>:<port>", name)
         return Address("", 0)
     return Address(ip, int(port))
 
 
-def _optional_address(reader: Reader, name: str) -> Address | None:
+def _optional_address(reader: MappingReader, name: str) -> Address | None:
     if name not in (reader.node.fields or {}):
-        reader.text(name, "")
+        reader.read_text(name, "")
         return None
     return _address(reader, name)
--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -9,10 +9,10 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from fuchsiadale.config.documents import Located, Problem, SourceFile
-from fuchsiadale.config.json_body import parse_json
+from fuchsiadale.config.documents import DocumentNode, Problem, SourceFile
+from fuchsiadale.config.json_body import parse_json_object
 from fuchsiadale.config.model import Configuration
-from fuchsiadale.config.reader import Reader
+from fuchsiadale.config.reader import MappingReader
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.resources import (
     MB_PER_GB,
@@ -116,9 +116,9 @@
         fields, problems = reader.ok_value, reader.ok_value.problems
         base_version = None
         if fields.has("base_version"):
-            base_version = fields.reader.integer("base_version", 0, 0, MAX_VERSION)
+            base_version = fields.reader.read_integer("base_version", 0, 0, MAX_VERSION)
         files = _source_files(fields)
-        fields.reader.finish()
+        fields.reader.report_unknown_fields()
         if problems:
             return refusal_answer(_malformed(problems))
         changed = await self._config.change_folder(files, base_version)
@@ -130,8 +130,8 @@
         reader = await _read(request)
         if isinstance(reader, Err):
             return refusal_answer(reader.err_value)
-        team = reader.ok_value.reader.name("team")
-        reader.ok_value.reader.finish()
+        team = reader.ok_value.reader.read_name("team")
+        reader.ok_value.reader.report_unknown_fields()
         if reader.ok_value.problems:
             return refusal_answer(_malformed(reader.ok_value.problems))
         key = await self._config.create_key(team)
@@ -204,9 +204,9 @@
 class _Fields:
     """The fields of a body and what is wrong with them."""
 
-    def __init__(self, document: Located) -> None:
+    def __init__(self, document: DocumentNode) -> None:
         self.problems: list[Problem] = []
-        self.reader = Reader(document, self.problems)
+        self.reader = MappingReader(document, self.problems)
 
     def has(self, name: str) -> bool:
         """Tell whether a field is given."""
@@ -214,7 +214,7 @@
 
 
 async def _read(request: web.Request) -> Result[_Fields, Refusal]:
-    parsed = parse_json(await request.read())
+    parsed = parse_json_object(await request.read())
     if isinstance(parsed, Err):
         return Err(_malformed(parsed.err_value))
     return Ok(_Fields(parsed.ok_value))
@@ -222,12 +222,12 @@
 
 def _source_files(fields: _Fields) -> list[SourceFile]:
     """Return the files of a body: a mapping of names to texts."""
-    inner = fields.reader.mapping("files")
+    inner = fields.reader.read_mapping("files")
     if inner is None:
-        fields.reader.complain("is missing", "files")
+        fields.reader.add_problem("is missing", "files")
         return []
     names = sorted(inner.node.fields or {})
-    return [SourceFile(name, inner.text(name)) for name in names]
+    return [SourceFile(name, inner.read_text(name)) for name in names]
 
 
 def _malformed(problems: list[Problem]) -> Refusal:
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -206,7 +206,7 @@
         if scheme.lower() != "bearer" or not key:
             message = "a key is needed: Authorization: Bearer <key>"
             return Err(Refusal(ErrorKind.UNAUTHENTICATED, message))
-        team = self._config.document.team_of_key(key.strip())
+        team = self._config.document.find_team_by_key(key.strip())
         if team is None:
             message = "the key is unknown or was withdrawn"
             return Err(Refusal(ErrorKind.UNAUTHENTICATED, message))
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -12,13 +12,13 @@
 
 from fuchsiadale.codec import decode, encode
 from fuchsiadale.config.documents import SourceFile
-from fuchsiadale.config.folder import check_change, read_configuration
+from fuchsiadale.config.folder import find_forbidden_changes, read_configuration
 from fuchsiadale.config.model import (
     ConfigDocument,
     Configuration,
     KeyRecord,
     NewKey,
-    make_key,
+    generate_key,
 )
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.errors import ErrorKind, Refusal
@@ -131,7 +131,7 @@
         if isinstance(current, Err):
             return current
         document = current.ok_value
-        messages = check_change(document.configuration, checked.ok_value)
+        messages = find_forbidden_changes(document.configuration, checked.ok_value)
         orphaned = {
             record.team
             for record in document.keys.values()
@@ -153,7 +153,7 @@
         document = current.ok_value
         if team not in document.configuration.teams:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no team {team!r}"))
-        key = make_key(team)
+        key = generate_key(team)
         keys = {**document.keys, key.key_id: key.record}
         committed = await self._commit(evolve(document, keys=keys))
         return committed.map(lambda _: key)
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -53,7 +53,7 @@
             return driver
         return await driver.ok_value.show(work_id, hold_s)
 
-    async def list_team(
+    async def list_team_jobs(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -29,7 +29,7 @@
 from fuchsiadale.entry.recovery import RecordedState
 from fuchsiadale.entry.router import Router
 from fuchsiadale.entry.workers_driver import WorkerList
-from fuchsiadale.ids import IdSource, RandomIds
+from fuchsiadale.ids import IdSource, RandomIdSource
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.metrics import MemoryCounters, StatsdCounters
 from fuchsiadale.peers.gateway import PeerConnector
@@ -86,7 +86,7 @@
         ids: IdSource | None = None,
     ) -> None:
         self.settings = settings
-        self.ids = ids or RandomIds()
+        self.ids = ids or RandomIdSource()
         self.counters = (
             StatsdCounters(settings.statsd)
             if settings.statsd is not None
@@ -220,9 +220,9 @@
             self._directory,
             self._local,
             self._peer_connector,
-            self._root.add("peers"),
+            self._root.add_supervisor("peers"),
             self._router.deliver,
-            self._outboxes.forget,
+            self._outboxes.drop_member,
         )
         self._gossip = GossipDriver(
             self._identity,
@@ -244,7 +244,7 @@
             journal=self._journal,
             connector=self._connector,
             counters=self.counters,
-            supervisor=self._root.add("partitions"),
+            supervisor=self._root.add_supervisor("partitions"),
             send_result=self._send_result,
             is_store_failing=lambda: table.is_failing,
         )
@@ -291,7 +291,7 @@
             self._router.deliver(view)
             delivered()
         else:
-            self._outboxes.put(member, view, delivered)
+            self._outboxes.add_result(member, view, delivered)
 
     def _membership_lost(self) -> None:
         self._root.start("rejoin", self._membership.rejoin)
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -70,7 +70,7 @@
         self.events_since_snapshot = 0
         self._tools = tools
         self._on_stale = on_stale
-        self._supervisor = tools.supervisor.add(name)
+        self._supervisor = tools.supervisor.add_supervisor(name)
         self._workers: dict[str, WorkerDriver] = {}
         self._subscribers: dict[str, set[str]] = {}
         self._watchers: dict[str, list[asyncio.Future[None]]] = {}
@@ -120,8 +120,8 @@
             if driver is None or driver.address != info.address:
                 self._open_worker(info)
         for name in set(self._workers) - set(listed):
-            self._supervisor.end(f"{name}/session")
-            self._supervisor.end(f"{name}/orders")
+            self._supervisor.cancel(f"{name}/session")
+            self._supervisor.cancel(f"{name}/orders")
             del self._workers[name]
         self.kick()
 
@@ -236,7 +236,7 @@
         """Stop deciding and talking, for good."""
         self._is_closed = True
         self.partition.authority.revoke()
-        await self._tools.supervisor.remove(self.name)
+        await self._tools.supervisor.remove_supervisor(self.name)
 
     def _open_worker(self, info: WorkerInfo) -> None:
         driver = WorkerDriver(
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -166,7 +166,7 @@
             gateway = self._find_gateway(owner)
             if gateway is None:
                 continue
-            found = await gateway.list_team(partition, team)
+            found = await gateway.list_team_jobs(partition, team)
             if isinstance(found, Err):
                 return found
             views.extend(found.ok_value)
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -9,9 +9,9 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.config.documents import Problem
-from fuchsiadale.config.json_body import parse_json
+from fuchsiadale.config.json_body import parse_json_object
 from fuchsiadale.config.model import Configuration, QueueConfig
-from fuchsiadale.config.reader import Reader
+from fuchsiadale.config.reader import MappingReader
 from fuchsiadale.decision.constants import MAX_JOB_TASKS, MAX_PAYLOAD_BYTES
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.resources import (
@@ -86,11 +86,11 @@
     if len(caller.idempotency_key) > MAX_KEY_LENGTH:
         message = f"Idempotency-Key is longer than {MAX_KEY_LENGTH} characters"
         return Err(Refusal(ErrorKind.MALFORMED, message))
-    parsed = parse_json(body)
+    parsed = parse_json_object(body)
     if isinstance(parsed, Err):
         return Err(_malformed(parsed.err_value))
     problems: list[Problem] = []
-    reader = Reader(parsed.ok_value, problems)
+    reader = MappingReader(parsed.ok_value, problems)
     queue = configuration.queues[caller.queue]
     slices = configuration.pools[queue.pool].slices
     kind = kind or _kind(reader)
@@ -101,16 +101,18 @@
         kind=kind,
         team=caller.team,
         queue=caller.queue,
-        program=Program(reader.text("program"), _payload(reader)),
+        program=Program(reader.read_text("program"), _payload(reader)),
         resources=_resources(reader),
         tasks=_task_count(reader, kind),
         priority=_priority(reader, queue),
-        idempotent=reader.boolean("idempotent", kind is not WorkKind.REQUEST),
+        idempotent=reader.read_boolean("idempotent", kind is not WorkKind.REQUEST),
         key=caller.idempotency_key,
-        deadline_s=reader.number("timeout_s", DEFAULT_DEADLINE_S, 0.05, MAX_DEADLINE_S),
-        declared_run_s=reader.number("run_s", 0.0, 0.0, MAX_RUN_S),
+        deadline_s=reader.read_number(
+            "timeout_s", DEFAULT_DEADLINE_S, 0.05, MAX_DEADLINE_S
+        ),
+        declared_run_s=reader.read_number("run_s", 0.0, 0.0, MAX_RUN_S),
     )
-    reader.finish()
+    reader.report_unknown_fields()
     if problems:
         return Err(_malformed(problems))
     if kind not in queue.kinds:
@@ -136,60 +138,64 @@
     return Ok(submission)
 
 
-def _kind(reader: Reader) -> WorkKind:
-    text = reader.text("kind", WorkKind.BATCH.value)
+def _kind(reader: MappingReader) -> WorkKind:
+    text = reader.read_text("kind", WorkKind.BATCH.value)
     known = [kind for kind in WorkKind if kind is not WorkKind.REQUEST]
     for kind in known:
         if kind.value == text:
             return kind
     names = ", ".join(kind.value for kind in known)
-    reader.complain(f"{text!r} is not a kind of job; known are {names}", "kind")
+    reader.add_problem(f"{text!r} is not a kind of job; known are {names}", "kind")
     return WorkKind.BATCH
 
 
-def _task_count(reader: Reader, kind: WorkKind) -> int:
+def _task_count(reader: MappingReader, kind: WorkKind) -> int:
     if kind is WorkKind.REQUEST:
         return 1
-    return reader.integer("tasks", 1, 1, MAX_JOB_TASKS)
+    return reader.read_integer("tasks", 1, 1, MAX_JOB_TASKS)
 
 
-def _priority(reader: Reader, queue: QueueConfig) -> Priority:
-    text = reader.text("priority", "normal")
+def _priority(reader: MappingReader, queue: QueueConfig) -> Priority:
+    text = reader.read_text("priority", "normal")
     if text == "normal":
         return Priority.NORMAL
     if text != "urgent":
-        reader.complain("must be normal or urgent", "priority")
+        reader.add_problem("must be normal or urgent", "priority")
     elif not queue.urgent:
-        reader.complain("the queue takes no urgent work", "priority")
+        reader.add_problem("the queue takes no urgent work", "priority")
     return Priority.URGENT
 
 
-def _payload(reader: Reader) -> bytes:
-    encoded = reader.text("payload_base64", "")
-    plain = reader.text("payload", "")
+def _payload(reader: MappingReader) -> bytes:
+    encoded = reader.read_text("payload_base64", "")
+    plain = reader.read_text("payload", "")
     if encoded and plain:
-        reader.complain("payload is given too", "payload_base64")
+        reader.add_problem("payload is given too", "payload_base64")
     if not encoded:
         return plain.encode()
     try:
         return base64.b64decode(encoded, validate=True)
     except binascii.Error as error:
-        reader.complain(f"is not base64: {error}", "payload_base64")
+        reader.add_problem(f"is not base64: {error}", "payload_base64")
         return b""
 
 
-def _resources(reader: Reader) -> Resources:
-    inner = reader.mapping("resources")
+def _resources(reader: MappingReader) -> Resources:
+    inner = reader.read_mapping("resources")
     if inner is None:
         return Resources(MILLIS_PER_CORE, MB_PER_GB, 0, 1, 1)
     resources = Resources(
-        cpu_millis=int(inner.number("cores", 1.0, 0.0, MAX_CORES) * MILLIS_PER_CORE),
-        memory_mb=int(inner.number("memory_gb", 1.0, 0.0, MAX_MEMORY_GB) * MB_PER_GB),
-        accelerators=inner.integer("accelerators", 0, 0, MAX_ACCELERATORS),
+        cpu_millis=int(
+            inner.read_number("cores", 1.0, 0.0, MAX_CORES) * MILLIS_PER_CORE
+        ),
+        memory_mb=int(
+            inner.read_number("memory_gb", 1.0, 0.0, MAX_MEMORY_GB) * MB_PER_GB
+        ),
+        accelerators=inner.read_integer("accelerators", 0, 0, MAX_ACCELERATORS),
         slots=1,
-        connections=inner.integer("connections", 1, 0, MAX_CONNECTIONS),
+        connections=inner.read_integer("connections", 1, 0, MAX_CONNECTIONS),
     )
-    inner.finish()
+    inner.report_unknown_fields()
     return resources
 
 
--- a/src/fuchsiadale/ids.py
+++ b/src/fuchsiadale/ids.py
@@ -14,7 +14,7 @@
         """Return an identifier of hexadecimal digits."""
 
 
-class RandomIds(IdSource):
+class RandomIdSource(IdSource):
     """Makes random identifiers."""
 
     def new(self) -> str:
--- a/src/fuchsiadale/peers/client.py
+++ b/src/fuchsiadale/peers/client.py
@@ -14,7 +14,11 @@
 from fuchsiadale.decision.errors import Refusal
 from fuchsiadale.decision.views import PartitionView, WorkView
 from fuchsiadale.decision.work import Submission, WorkKind
-from fuchsiadale.peers.failures import from_failure, to_failure, unreachable
+from fuchsiadale.peers.failures import (
+    decode_refusal,
+    encode_refusal,
+    make_unknown_outcome_refusal,
+)
 from fuchsiadale.peers.gateway import Peer, PeerConnector
 from fuchsiadale.peers.peer_pb2 import (
     CancelRequest,
@@ -115,14 +119,14 @@
     ) -> Result[WorkView, Refusal]:
         """End work, unless the caller of another member waits for it."""
         request = CancelRequest(
-            work_id=work_id, reason=to_failure(reason), member=member
+            work_id=work_id, reason=encode_refusal(reason), member=member
         )
         try:
             reply = await self._stub.Cancel(request, timeout=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
             return Err(await self._failed(error))
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         return self._decoded(reply.view, WorkView)
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
@@ -130,7 +134,7 @@
         views = await self._show(ShowRequest(work_id=work_id), hold_s)
         return views.map(lambda found: found[0])
 
-    async def list_team(
+    async def list_team_jobs(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
@@ -144,7 +148,7 @@
         except grpc.aio.AioRpcError as error:
             return Err(await self._failed(error))
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         return self._decoded(reply.view, PartitionView)
 
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
@@ -156,22 +160,22 @@
         return Ok(reply)
 
     async def collect(
-        self, own_member: Callable[[], str], deliver: Callable[[WorkView], None]
+        self, get_own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
         """Fetch results for this process, for ever.
 
         Parameters
         ----------
-        own_member : callable
+        get_own_member : callable
             Returns the member that this process is at present.
         deliver : callable
             Takes each result; one may come twice.
         """
-        member = own_member()
+        member = get_own_member()
         received_through = 0
         while True:
-            if own_member() != member:
-                member = own_member()
+            if get_own_member() != member:
+                member = get_own_member()
                 received_through = 0
             request = CollectRequest(
                 member=member,
@@ -217,11 +221,18 @@
     def _settle_all(self, pending: list[_Pending], reply: SubmitReply) -> None:
         for each, result in zip(pending, reply.results, strict=False):
             if result.HasField("failure"):
-                _settle(each, Err(from_failure(result.failure)))
+                _settle(each, Err(decode_refusal(result.failure)))
             else:
                 _settle(each, Ok(result.work_id))
         for each in pending[len(reply.results) :]:
-            _settle(each, Err(unreachable(self._member, "the answer is not whole")))
+            _settle(
+                each,
+                Err(
+                    make_unknown_outcome_refusal(
+                        self._member, "the answer is not whole"
+                    )
+                ),
+            )
 
     async def _show(
         self, request: ShowRequest, hold_s: float
@@ -232,7 +243,7 @@
         except grpc.aio.AioRpcError as error:
             return Err(await self._failed(error))
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         views: list[WorkView] = []
         for body in reply.views:
             view = self._decoded(body, WorkView)
@@ -243,7 +254,7 @@
 
     def _decoded(self, body: bytes, as_type: type[T]) -> Result[T, Refusal]:
         return decode(body, as_type).map_err(
-            lambda message: unreachable(self._member, message)
+            lambda message: make_unknown_outcome_refusal(self._member, message)
         )
 
     async def _failed(self, error: grpc.aio.AioRpcError) -> Refusal:
@@ -253,7 +264,7 @@
             self._channel = grpc.aio.insecure_channel(self._address, options=_OPTIONS)
             self._stub = PeerStub(self._channel)
             await silent.close()
-        return unreachable(self._member, error.code().name.lower())
+        return make_unknown_outcome_refusal(self._member, error.code().name.lower())
 
 
 class GrpcPeerConnector(PeerConnector):
--- a/src/fuchsiadale/peers/gateway.py
+++ b/src/fuchsiadale/peers/gateway.py
@@ -37,7 +37,7 @@
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
 
     @abstractmethod
-    async def list_team(
+    async def list_team_jobs(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
@@ -61,13 +61,13 @@
 
     @abstractmethod
     async def collect(
-        self, own_member: Callable[[], str], deliver: Callable[[WorkView], None]
+        self, get_own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
         """Fetch results for this process, for ever.
 
         Parameters
         ----------
-        own_member : callable
+        get_own_member : callable
             Returns the member that this process is at present.
         deliver : callable
             Takes each result; one may come twice.
--- a/src/fuchsiadale/peers/results.py
+++ b/src/fuchsiadale/peers/results.py
@@ -10,22 +10,22 @@
 
 from fuchsiadale.decision.views import WorkView
 
-Delivered = Callable[[], None]
+DeliveryCallback = Callable[[], None]
 
 
 @frozen
-class Collected:
+class CollectedResults:
     """Results for one member.
 
     Attributes
     ----------
-    through : int
+    last_number : int
         Number of the last one; sent back to have them forgotten.
     views : list of WorkView
         The results.
     """
 
-    through: int
+    last_number: int
     views: list[WorkView]
 
 
@@ -33,7 +33,7 @@
 class _Parcel:
     number: int
     view: WorkView
-    delivered: Delivered
+    on_delivered: DeliveryCallback
 
 
 @define
@@ -54,7 +54,9 @@
         """Number of results that have not been fetched."""
         return sum(len(outbox.parcels) for outbox in self._outboxes.values())
 
-    def put(self, member: str, view: WorkView, delivered: Delivered) -> None:
+    def add_result(
+        self, member: str, view: WorkView, on_delivered: DeliveryCallback
+    ) -> None:
         """Keep a result for a member.
 
         Parameters
@@ -63,17 +65,17 @@
             The member whose caller waits.
         view : WorkView
             The result.
-        delivered : callable
+        on_delivered : callable
             Called when the member has the result.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
         outbox.count += 1
-        outbox.parcels.append(_Parcel(outbox.count, view, delivered))
+        outbox.parcels.append(_Parcel(outbox.count, view, on_delivered))
         outbox.changed.set()
 
     async def collect(
         self, member: str, received_through: int, hold_s: float
-    ) -> Collected:
+    ) -> CollectedResults:
         """Return the results that a member does not have, once there are any.
 
         Parameters
@@ -87,7 +89,7 @@
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
         while outbox.parcels and outbox.parcels[0].number <= received_through:
-            outbox.parcels.popleft().delivered()
+            outbox.parcels.popleft().on_delivered()
         if not outbox.parcels:
             outbox.changed.clear()
             try:
@@ -96,8 +98,8 @@
             except TimeoutError:
                 pass
         views = [parcel.view for parcel in outbox.parcels]
-        return Collected(outbox.count, views)
+        return CollectedResults(outbox.count, views)
 
-    def forget(self, member: str) -> None:
+    def drop_member(self, member: str) -> None:
         """Drop the results of a member that is gone."""
         self._outboxes.pop(member, None)
--- a/src/fuchsiadale/peers/service.py
+++ b/src/fuchsiadale/peers/service.py
@@ -13,7 +13,7 @@
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.views import WorkView
 from fuchsiadale.decision.work import Submission
-from fuchsiadale.peers.failures import from_failure, to_failure
+from fuchsiadale.peers.failures import decode_refusal, encode_refusal
 from fuchsiadale.peers.gateway import Gateway
 from fuchsiadale.peers.peer_pb2 import (
     CancelReply,
@@ -88,16 +88,16 @@
             request.member, request.received_through, request.hold_ms / 1000
         )
         views = [encode(view) for view in collected.views]
-        return CollectReply(through=collected.through, views=views)
+        return CollectReply(through=collected.last_number, views=views)
 
     async def Cancel(  # noqa: N802
         self, request: CancelRequest, context: Context
     ) -> CancelReply:
         """End work."""
-        reason = from_failure(request.reason)
+        reason = decode_refusal(request.reason)
         view = await self._gateway.cancel(request.work_id, reason, request.member)
         if isinstance(view, Err):
-            return CancelReply(failure=to_failure(view.err_value))
+            return CancelReply(failure=encode_refusal(view.err_value))
         return CancelReply(view=encode(view.ok_value))
 
     async def Show(  # noqa: N802
@@ -109,9 +109,9 @@
             view = await self._gateway.show(request.work_id, request.hold_ms / 1000)
             views = view.map(lambda found: [found])
         else:
-            views = await self._gateway.list_team(request.partition, request.team)
+            views = await self._gateway.list_team_jobs(request.partition, request.team)
         if isinstance(views, Err):
-            return ShowReply(failure=to_failure(views.err_value))
+            return ShowReply(failure=encode_refusal(views.err_value))
         return ShowReply(views=[encode(view) for view in views.ok_value])
 
     async def Inspect(  # noqa: N802
@@ -120,7 +120,7 @@
         """Show a partition."""
         view = await self._gateway.inspect(request.partition)
         if isinstance(view, Err):
-            return InspectReply(failure=to_failure(view.err_value))
+            return InspectReply(failure=encode_refusal(view.err_value))
         return InspectReply(view=encode(view.ok_value))
 
     async def Gossip(  # noqa: N802
@@ -133,10 +133,10 @@
         submission = decode(body, Submission)
         if isinstance(submission, Err):
             refusal = Refusal(ErrorKind.MALFORMED, submission.err_value)
-            return SubmitResult(failure=to_failure(refusal))
+            return SubmitResult(failure=encode_refusal(refusal))
         outcome = await self._gateway.submit(submission.ok_value, member)
         if isinstance(outcome, Err):
-            return SubmitResult(failure=to_failure(outcome.err_value))
+            return SubmitResult(failure=encode_refusal(outcome.err_value))
         return SubmitResult(work_id=outcome.ok_value)
 
 
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -11,7 +11,7 @@
 from attrs import frozen
 
 from fuchsiadale.config.documents import SourceFile
-from fuchsiadale.config.folder import list_files
+from fuchsiadale.config.folder import read_yaml_files
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.entry.daemon import EntryDaemon
 from fuchsiadale.loop_clock import LoopClock
@@ -108,7 +108,7 @@
     def files(self) -> list[SourceFile]:
         """Return the files of the configuration to apply."""
         if self._options.folder is not None:
-            return list_files(self._options.folder)
+            return read_yaml_files(self._options.folder)
         return DEFAULT_FILES
 
     async def listen(self, app: web.Application) -> str:
--- a/src/fuchsiadale/supervisor.py
+++ b/src/fuchsiadale/supervisor.py
@@ -31,26 +31,26 @@
         self._supervisors: dict[str, Supervisor] = {}
 
     @property
-    def children(self) -> list[str]:
+    def child_names(self) -> list[str]:
         """Names of the children that run."""
         return list(self._children)
 
     def start(self, name: str, main: ChildMain) -> None:
         """Run a child; one of the same name is ended first."""
-        self.end(name)
+        self.cancel(name)
         task = asyncio.get_running_loop().create_task(
             self._keep_running(name, main), name=f"{self._name}/{name}"
         )
         self._children[name] = task
         task.add_done_callback(lambda done: self._forget(name, done))
 
-    def add(self, name: str) -> Supervisor:
+    def add_supervisor(self, name: str) -> Supervisor:
         """Return a new supervisor below this one."""
         child = Supervisor(f"{self._name}/{name}")
         self._supervisors[name] = child
         return child
 
-    def end(self, name: str) -> None:
+    def cancel(self, name: str) -> None:
         """End a child if it runs."""
         task = self._children.pop(name, None)
         if task is not None:
@@ -69,7 +69,7 @@
         others = [task for task in tasks if task is not current]
         await asyncio.gather(*others, return_exceptions=True)
 
-    async def remove(self, name: str) -> None:
+    async def remove_supervisor(self, name: str) -> None:
         """End a supervisor below this one."""
         child = self._supervisors.pop(name, None)
         if child is not None:
--- a/tests/links.py
+++ b/tests/links.py
@@ -30,7 +30,11 @@
 from fuchsiadale.decision.views import PartitionView, WorkView
 from fuchsiadale.decision.work import Submission
 from fuchsiadale.entry.node import EntryNode
-from fuchsiadale.peers.failures import from_failure, to_failure, unreachable
+from fuchsiadale.peers.failures import (
+    decode_refusal,
+    encode_refusal,
+    make_unknown_outcome_refusal,
+)
 from fuchsiadale.peers.gateway import Peer, PeerConnector
 from fuchsiadale.peers.peer_pb2 import (
     CancelRequest,
@@ -198,7 +202,7 @@
             return Err(self._lost())
         result = reply.results[0]
         if result.HasField("failure"):
-            return Err(from_failure(result.failure))
+            return Err(decode_refusal(result.failure))
         return Ok(result.work_id)
 
     async def cancel(
@@ -209,11 +213,13 @@
         if node is None:
             return Err(self._lost())
         reply = await node.peer_service.Cancel(
-            CancelRequest(work_id=work_id, reason=to_failure(reason), member=member),
+            CancelRequest(
+                work_id=work_id, reason=encode_refusal(reason), member=member
+            ),
             None,
         )
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         return Ok(decode(reply.view, WorkView).unwrap())
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
@@ -221,7 +227,7 @@
         request = ShowRequest(work_id=work_id, hold_ms=int(hold_s * 1000))
         return (await self._show(request)).map(lambda views: views[0])
 
-    async def list_team(
+    async def list_team_jobs(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
@@ -236,7 +242,7 @@
             InspectRequest(partition=partition), None
         )
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         return Ok(decode(reply.view, PartitionView).unwrap())
 
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
@@ -247,14 +253,14 @@
         return Ok(await node.peer_service.Gossip(request, None))
 
     async def collect(
-        self, own_member: Callable[[], str], deliver: Callable[[WorkView], None]
+        self, get_own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
         """Fetch results for this process, for ever."""
-        member = own_member()
+        member = get_own_member()
         through = 0
         while True:
-            if own_member() != member:
-                member = own_member()
+            if get_own_member() != member:
+                member = get_own_member()
                 through = 0
             request = CollectRequest(
                 member=member, received_through=through, hold_ms=1000
@@ -278,7 +284,7 @@
             return Err(self._lost())
         reply = await node.peer_service.Show(request, None)
         if reply.HasField("failure"):
-            return Err(from_failure(reply.failure))
+            return Err(decode_refusal(reply.failure))
         return Ok([decode(body, WorkView).unwrap() for body in reply.views])
 
     async def _reach(self) -> EntryNode | None:
@@ -289,7 +295,7 @@
         return node
 
     def _lost(self) -> Refusal:
-        return unreachable(self._member, "cut")
+        return make_unknown_outcome_refusal(self._member, "cut")
 
 
 class LinkedPeers(PeerConnector):
--- a/tests/test_config_files.py
+++ b/tests/test_config_files.py
@@ -11,7 +11,7 @@
 from result import Err
 
 from fuchsiadale.config.documents import SourceFile
-from fuchsiadale.config.folder import list_files, read_configuration
+from fuchsiadale.config.folder import read_configuration, read_yaml_files
 from fuchsiadale.config.settings import read_settings
 
 DATA = Path(__file__).parent / "data"
@@ -64,6 +64,6 @@
 
 @pytest.mark.parametrize("user", ["guild", "typha"])
 def test_example_folder_is_valid(user: str) -> None:
-    configuration = read_configuration(list_files(EXAMPLES / user)).unwrap()
+    configuration = read_configuration(read_yaml_files(EXAMPLES / user)).unwrap()
     assert len(configuration.teams) == 6
     assert len(configuration.pools) == 2
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -23,7 +23,7 @@
             key = (await nodes["entry-0"].config.create_key("guild")).unwrap()
             await cluster.until(
                 lambda: all(
-                    node.config.document.team_of_key(key.text) == "guild"
+                    node.config.document.find_team_by_key(key.text) == "guild"
                     for node in nodes.values()
                 ),
                 IN_FORCE_S,
@@ -33,7 +33,9 @@
             cluster.cut_off("entry-2")
             (await nodes["entry-0"].config.withdraw_key(key.key_id)).unwrap()
             await cluster.until(
-                lambda: nodes["entry-1"].config.document.team_of_key(key.text) is None,
+                lambda: (
+                    nodes["entry-1"].config.document.find_team_by_key(key.text) is None
+                ),
                 WITHDRAWN_S,
             )
             await cluster.until(
