--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -291,7 +291,7 @@
             self._supervisor.start(f"worker/{entry.worker_id}", link.run)
         for worker_id in self._scheduler.forget_gone_workers():
             self._links.pop(worker_id, None)
-            self._supervisor.cancel(f"worker/{worker_id}")
+            self._supervisor.cancel_child(f"worker/{worker_id}")
         self._losses.workers = len(self._links)
         self._committer.wake()
 
--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -10,13 +10,13 @@
 from fuchsiadale.cli.client import EntryClient, Reply
 from fuchsiadale.standin.dev import DevSystem
 
-READY_POLL_S = 0.05
-READY_LIMIT_S = 20.0
-JOB_LIMIT_S = 20.0
+POLL_INTERVAL_S = 0.05
+READY_TIMEOUT_S = 20.0
+JOB_TIMEOUT_S = 20.0
 
 
 @frozen
-class DemoRow:
+class DemoResult:
     """What one piece of work of the demonstration did."""
 
     kind: str
@@ -36,8 +36,8 @@
 
     def __init__(self, system: DevSystem) -> None:
         self._system = system
-        self._admin = EntryClient(system.url, system.admin_key)
-        self._caller = self._admin
+        self._admin_client = EntryClient(system.url, system.admin_key)
+        self._caller_client = self._admin_client
 
     async def prepare(self) -> str | None:
         """Apply the configuration and make a key; return what went wrong, if anything.
@@ -45,74 +45,83 @@
         The caller's key is kept for the runs that follow.
         """
         files = {source.name: source.text for source in self._system.files()}
-        applied = await self._admin.call_async(
+        apply_reply = await self._admin_client.call_async(
             "PUT", "/admin/v1/config", {"files": files}
         )
-        if not applied.is_ok:
-            return str(applied.body)
-        shown = await self._admin.call_async("GET", "/admin/v1/config")
-        team = next(iter(shown.body["configuration"]["teams"]), None)
+        if not apply_reply.is_ok:
+            return str(apply_reply.body)
+        config_reply = await self._admin_client.call_async("GET", "/admin/v1/config")
+        team = next(iter(config_reply.body["configuration"]["teams"]), None)
         if team is None:
             return "the configuration has no team"
-        key = await self._admin.call_async("POST", "/admin/v1/keys", {"team": team})
-        if not key.is_ok:
-            return str(key.body)
-        self._caller = EntryClient(self._system.url, key.body["key"])
+        key_reply = await self._admin_client.call_async(
+            "POST", "/admin/v1/keys", {"team": team}
+        )
+        if not key_reply.is_ok:
+            return str(key_reply.body)
+        self._caller_client = EntryClient(self._system.url, key_reply.body["key"])
         return await self._wait_until_ready()
 
-    async def run(self) -> list[DemoRow]:
+    async def run(self) -> list[DemoResult]:
         """Run a request, a batch, a gang and a service."""
         body: dict[str, Any] = {"program": "echo", "payload": "crest"}
-        answer = await self._caller.call_async(
+        request_reply = await self._caller_client.call_async(
             "POST", "/v1/queues/proofs/requests", body
         )
-        rows = [_request_row(answer)]
-        sleep = {"program": "sleep", "payload": '{"run_s": 0.1, "answer": "done"}'}
-        rows.append(
-            await self._run_job({**sleep, "kind": "batch", "tasks": 6}, "final")
+        results = [_summarize_request(request_reply)]
+        sleep_program = {
+            "program": "sleep",
+            "payload": '{"run_s": 0.1, "answer": "done"}',
+        }
+        results.append(
+            await self._run_job({**sleep_program, "kind": "batch", "tasks": 6}, "final")
+        )
+        results.append(
+            await self._run_job({**sleep_program, "kind": "gang", "tasks": 4}, "final")
         )
-        rows.append(await self._run_job({**sleep, "kind": "gang", "tasks": 4}, "final"))
-        service = {"program": "forever", "kind": "service", "tasks": 3}
-        rows.append(await self._run_job(service, "running"))
-        return rows
+        service_job = {"program": "forever", "kind": "service", "tasks": 3}
+        results.append(await self._run_job(service_job, "running"))
+        return results
 
     async def _wait_until_ready(self) -> str | None:
-        for _ in range(int(READY_LIMIT_S / READY_POLL_S)):
-            ready = await self._admin.call_async("GET", "/readyz")
-            if ready.is_ok:
+        for _ in range(int(READY_TIMEOUT_S / POLL_INTERVAL_S)):
+            ready_reply = await self._admin_client.call_async("GET", "/readyz")
+            if ready_reply.is_ok:
                 return None
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return "the entry did not become ready"
 
-    async def _run_job(self, body: dict[str, Any], until: str) -> DemoRow:
+    async def _run_job(self, body: dict[str, Any], awaited_state: str) -> DemoResult:
         """Submit a job and wait until it is final, or until all its tasks run."""
-        submitted = await self._caller.call_async(
+        submit_reply = await self._caller_client.call_async(
             "POST", "/v1/queues/proofs/jobs", body
         )
-        if not submitted.is_ok:
-            return DemoRow(body["kind"], str(submitted.body), "-", 0.0)
-        path = f"/v1/jobs/{submitted.body['work_id']}"
-        shown = submitted
-        for _ in range(int(JOB_LIMIT_S / READY_POLL_S)):
-            shown = await self._caller.call_async("GET", path)
-            states = {task["state"] for task in shown.body["tasks"]}
-            if (until == "final" and shown.body["final"]) or states == {until}:
+        if not submit_reply.is_ok:
+            return DemoResult(body["kind"], str(submit_reply.body), "-", 0.0)
+        path = f"/v1/jobs/{submit_reply.body['work_id']}"
+        job_reply = submit_reply
+        for _ in range(int(JOB_TIMEOUT_S / POLL_INTERVAL_S)):
+            job_reply = await self._caller_client.call_async("GET", path)
+            states = {task["state"] for task in job_reply.body["tasks"]}
+            if (awaited_state == "final" and job_reply.body["final"]) or states == {
+                awaited_state
+            }:
                 break
-            await asyncio.sleep(READY_POLL_S)
-        if until == "running":
-            await self._caller.call_async("POST", f"{path}/cancel")
-        return _job_row(shown.body)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if awaited_state == "running":
+            await self._caller_client.call_async("POST", f"{path}/cancel")
+        return _summarize_job(job_reply.body)
 
 
-def _request_row(answer: Reply) -> DemoRow:
-    if not answer.is_ok:
-        return DemoRow("request", str(answer.body), "-", 0.0)
-    return DemoRow("request", answer.body["outcome"], answer.body["worker"], 0.0)
+def _summarize_request(reply: Reply) -> DemoResult:
+    if not reply.is_ok:
+        return DemoResult("request", str(reply.body), "-", 0.0)
+    return DemoResult("request", reply.body["outcome"], reply.body["worker"], 0.0)
 
 
-def _job_row(body: dict[str, Any]) -> DemoRow:
+def _summarize_job(body: dict[str, Any]) -> DemoResult:
     tasks = body["tasks"]
     states = sorted({task["state"] for task in tasks})
     workers = sorted({task.get("worker", "-") for task in tasks})
     waited_s = max(task.get("waited_s", 0.0) for task in tasks)
-    return DemoRow(body["kind"], ", ".join(states), ", ".join(workers), waited_s)
+    return DemoResult(body["kind"], ", ".join(states), ", ".join(workers), waited_s)
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -21,8 +21,8 @@
     Reads standard input if no log is named.
     """
     lines = [line for log in logs or (sys.stdin,) for line in log]
-    story = story_of(job_id, lines)
-    if not story:
+    history = story_of(job_id, lines)
+    if not history:
         exit_with_error(f"no line names job {job_id}", ExitCode.REFUSED)
-    for line in story:
+    for line in history:
         click.echo(str(line))
--- a/src/fuchsiadale/cli/jobs.py
+++ b/src/fuchsiadale/cli/jobs.py
@@ -17,7 +17,7 @@
     print_table,
 )
 
-LONGEST_WAIT_S = 30.0
+MAX_WAIT_PER_CALL_S = 30.0
 
 KEY_OPTION = click.option(
     "--key", envvar="FUCHSIADALE_KEY", default="", help="The team's key."
@@ -80,11 +80,11 @@
     reply = EntryClient(url, key).call(
         "POST", f"/v1/queues/{queue}/jobs", body, idempotency_key
     )
-    found = get_body_or_exit(reply)
+    accepted_job = get_body_or_exit(reply)
     if output == "json":
-        print_json(found)
+        print_json(accepted_job)
     else:
-        click.echo(found["work_id"])
+        click.echo(accepted_job["work_id"])
 
 
 @job.command("show")
@@ -111,13 +111,13 @@
 ) -> None:
     """Wait until a job has ended; fail unless every task succeeded."""
     client = EntryClient(url, key)
-    left_s = timeout_s
+    remaining_s = timeout_s
     while True:
-        wait_s = min(left_s, LONGEST_WAIT_S)
+        wait_s = min(remaining_s, MAX_WAIT_PER_CALL_S)
         path = f"/v1/jobs/{work_id}?wait_s={wait_s:g}"
         body = get_body_or_exit(client.call("GET", path))
-        left_s -= wait_s
-        if body["final"] or left_s <= 0:
+        remaining_s -= wait_s
+        if body["final"] or remaining_s <= 0:
             break
     _print_job(body, output)
     if not body["final"]:
@@ -151,12 +151,12 @@
         return
     rows = [
         [
-            found["work_id"],
-            found["kind"],
-            found["queue"],
-            _summary(found["tasks"]),
+            listed_job["work_id"],
+            listed_job["kind"],
+            listed_job["queue"],
+            _summarize_states(listed_job["tasks"]),
         ]
-        for found in body["jobs"]
+        for listed_job in body["jobs"]
     ]
     print_table(["job", "kind", "queue", "tasks"], rows)
 
@@ -175,6 +175,6 @@
     print_table(["task", "state", "worker", "waited_s"], rows)
 
 
-def _summary(tasks: list[dict[str, Any]]) -> str:
+def _summarize_states(tasks: list[dict[str, Any]]) -> str:
     states = [task["state"] for task in tasks]
     return ", ".join(f"{states.count(state)} {state}" for state in sorted(set(states)))
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -168,10 +168,10 @@
         if problem is not None:
             click.echo(problem, err=True)
             return ExitCode.REFUSED
-        rows = await demo.run()
+        results = await demo.run()
         print_table(
             ["kind", "state", "ran on", "waited_s"],
-            [[row.kind, row.state, row.ran_on, row.waited_s] for row in rows],
+            [[row.kind, row.state, row.ran_on, row.waited_s] for row in results],
         )
         if serve:
             click.echo(f"serving on {system.url}", err=True)
@@ -179,6 +179,6 @@
             await create_stop_event().wait()
     finally:
         await system.stop()
-    states = [row.state for row in rows]
-    is_done = states == ["ran", "succeeded", "succeeded", "running"]
-    return ExitCode.OK if is_done else ExitCode.WORK_FAILED
+    states = [row.state for row in results]
+    is_successful = states == ["ran", "succeeded", "succeeded", "running"]
+    return ExitCode.OK if is_successful else ExitCode.WORK_FAILED
--- a/src/fuchsiadale/cli/operators.py
+++ b/src/fuchsiadale/cli/operators.py
@@ -52,10 +52,10 @@
     if isinstance(checked, Err):
         lines = [str(problem) for problem in checked.err_value]
         exit_with_error("\n".join(lines), ExitCode.INVALID)
-    found = checked.ok_value
+    configuration = checked.ok_value
     click.echo(
-        f"ok: {len(found.teams)} teams, {len(found.pools)} pools,"
-        f" {len(found.queues)} queues"
+        f"ok: {len(configuration.teams)} teams, {len(configuration.pools)} pools,"
+        f" {len(configuration.queues)} queues"
     )
 
 
@@ -89,17 +89,17 @@
     if output == "json":
         print_json(body)
         return
-    found = body["configuration"]
+    configuration = body["configuration"]
     click.echo(f"version {body['version']}, confirmed {body['age_s']} s ago")
     rows = [
-        [name, team["share"], _amounts(team["limit"])]
-        for name, team in found["teams"].items()
+        [name, team["share"], _format_amounts(team["limit"])]
+        for name, team in configuration["teams"].items()
     ]
     print_table(["team", "share", "limit"], rows)
     click.echo()
     rows = [
-        [name, queue["pool"], "yes" if queue["open"] else "no", _kinds(queue)]
-        for name, queue in found["queues"].items()
+        [name, queue["pool"], "yes" if queue["open"] else "no", _format_kinds(queue)]
+        for name, queue in configuration["queues"].items()
     ]
     print_table(["queue", "pool", "open", "kinds"], rows)
 
@@ -154,7 +154,9 @@
     if output == "json":
         print_json(body)
         return
-    rows = [[kind, _amounts(body[kind])] for kind in ("limit", "granted", "used")]
+    rows = [
+        [kind, _format_amounts(body[kind])] for kind in ("limit", "granted", "used")
+    ]
     click.echo(f"team {name}, share {body['share']:g}")
     print_table(["", "amounts"], rows)
 
@@ -200,7 +202,7 @@
             row["partition"],
             row["failure_domain"],
             row["state"],
-            _amounts(row["free"]),
+            _format_amounts(row["free"]),
             len(row["attempts"]),
         ]
         for row in body["workers"]
@@ -209,11 +211,11 @@
     print_table(columns, rows)
 
 
-def _amounts(amounts: dict[str, float] | None) -> str:
+def _format_amounts(amounts: dict[str, float] | None) -> str:
     if amounts is None:
         return "unlimited"
     return ", ".join(f"{value:g} {name}" for name, value in amounts.items())
 
 
-def _kinds(queue: dict[str, Any]) -> str:
+def _format_kinds(queue: dict[str, Any]) -> str:
     return ", ".join(queue["kinds"])
--- a/src/fuchsiadale/cli/output.py
+++ b/src/fuchsiadale/cli/output.py
@@ -28,7 +28,7 @@
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
     """Print a result as a table with aligned columns."""
-    texts = [[_text(cell) for cell in row] for row in rows]
+    texts = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in texts)])
         for index, name in enumerate(columns)
@@ -57,7 +57,7 @@
     exit_with_error(f"{kind}: {message}", code)
 
 
-def _text(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     if cell is None:
         return "-"
     if isinstance(cell, float):
--- a/src/fuchsiadale/cli/serving.py
+++ b/src/fuchsiadale/cli/serving.py
@@ -13,25 +13,25 @@
 
     A second signal, or the settings' drain limit, ends it at once.
     """
-    stop = create_stop_event()
-    await stop.wait()
-    stop.clear()
-    draining = asyncio.ensure_future(daemon.drain())
-    interrupted = asyncio.ensure_future(stop.wait())
+    stop_requested = create_stop_event()
+    await stop_requested.wait()
+    stop_requested.clear()
+    drain_task = asyncio.ensure_future(daemon.drain())
+    second_signal_task = asyncio.ensure_future(stop_requested.wait())
     await asyncio.wait(
-        {draining, interrupted},
+        {drain_task, second_signal_task},
         timeout=daemon.settings.drain_limit_s,
         return_when=asyncio.FIRST_COMPLETED,
     )
-    draining.cancel()
-    interrupted.cancel()
+    drain_task.cancel()
+    second_signal_task.cancel()
     await daemon.stop()
 
 
 def create_stop_event() -> asyncio.Event:
     """Return an event that SIGTERM and SIGINT set."""
-    stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    return stop
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    return stop_requested
--- a/src/fuchsiadale/config/documents.py
+++ b/src/fuchsiadale/config/documents.py
@@ -35,8 +35,8 @@
 
     def __str__(self) -> str:
         """Return ``file:line: field: message``."""
-        where = f"{self.location.file}:{self.location.line}"
-        return f"{where}: {self.field or '(document)'}: {self.message}"
+        position = f"{self.location.file}:{self.location.line}"
+        return f"{position}: {self.field or '(document)'}: {self.message}"
 
 
 @frozen
@@ -85,7 +85,7 @@
     if node is None:
         return Ok(DocumentNode(Location(source.name, 1), "", fields={}))
     problems: list[Problem] = []
-    document = _convert(node, source.name, "", problems)
+    document = _build_node(node, source.name, "", problems)
     if document.fields is None:
         problems.append(Problem(document.location, "", "must be a mapping"))
     return Err(problems) if problems else Ok(document)
@@ -115,22 +115,24 @@
             _merge_into(existing, value)
 
 
-def _convert(
+def _build_node(
     node: yaml.Node, file: str, path: str, problems: list[Problem]
 ) -> DocumentNode:
     location = Location(file, node.start_mark.line + 1)
     if isinstance(node, yaml.MappingNode):
         fields: dict[str, DocumentNode] = {}
-        for name, value in _pairs(node):
-            inner = f"{path}.{name}" if path else name
+        for name, value in _iterate_fields(node):
+            inner_path = f"{path}.{name}" if path else name
             if name in fields:
                 line = value.start_mark.line + 1
-                problems.append(Problem(Location(file, line), inner, "given twice"))
-            fields[name] = _convert(value, file, inner, problems)
+                problems.append(
+                    Problem(Location(file, line), inner_path, "given twice")
+                )
+            fields[name] = _build_node(value, file, inner_path, problems)
         return DocumentNode(location, path, fields=fields)
     if isinstance(node, yaml.SequenceNode):
         items = [
-            _convert(item, file, f"{path}[{index}]", problems)
+            _build_node(item, file, f"{path}[{index}]", problems)
             for index, item in enumerate(node.value)
         ]
         return DocumentNode(location, path, items=items)
@@ -142,6 +144,6 @@
     return DocumentNode(location, path, scalar=scalar)
 
 
-def _pairs(node: yaml.MappingNode) -> Iterator[tuple[str, yaml.Node]]:
+def _iterate_fields(node: yaml.MappingNode) -> Iterator[tuple[str, yaml.Node]]:
     for key, value in node.value:
         yield str(key.value), value
--- a/src/fuchsiadale/config/folder.py
+++ b/src/fuchsiadale/config/folder.py
@@ -63,20 +63,22 @@
         problems.append(Problem(Location("(folder)", 1), "", "has no .yaml file"))
     if problems:
         return Err(problems)
-    top = MappingReader(merge_documents(documents), problems)
+    root_reader = MappingReader(merge_documents(documents), problems)
     configuration = Configuration(
         teams={
-            name: _team(reader) for name, reader in top.read_named_mappings("teams")
+            name: _read_team(reader)
+            for name, reader in root_reader.read_named_mappings("teams")
         },
         pools={
-            name: _pool(reader) for name, reader in top.read_named_mappings("pools")
+            name: _read_pool(reader)
+            for name, reader in root_reader.read_named_mappings("pools")
         },
         queues={
-            name: _queue(reader, top)
-            for name, reader in top.read_named_mappings("queues")
+            name: _read_queue(reader, root_reader)
+            for name, reader in root_reader.read_named_mappings("queues")
         },
     )
-    top.report_unknown_fields()
+    root_reader.report_unknown_fields()
     return Err(sorted(problems)) if problems else Ok(configuration)
 
 
@@ -84,8 +86,8 @@
     """Return why a configuration may not follow another one."""
     messages: list[str] = []
     for name, pool in old.pools.items():
-        changed = new.pools.get(name)
-        if changed is not None and changed.slices != pool.slices:
+        new_pool = new.pools.get(name)
+        if new_pool is not None and new_pool.slices != pool.slices:
             messages.append(
                 f"pools.{name}.slices: is {pool.slices} for the life of the pool;"
                 " make a new pool instead"
@@ -93,20 +95,20 @@
     return messages
 
 
-def _team(reader: MappingReader) -> TeamConfig:
+def _read_team(reader: MappingReader) -> TeamConfig:
     share = reader.read_number("share", 1.0, 0.001, MAX_SHARE)
     limit_reader = reader.read_mapping("limit")
     limit = TeamConfig().limit
     if limit_reader is not None:
-        limit = _limit(limit_reader)
+        limit = _read_limit(limit_reader)
     reader.report_unknown_fields()
     return TeamConfig(share, limit)
 
 
-def _limit(reader: MappingReader) -> Resources:
-    most = float(UNLIMITED_AMOUNT)
-    cores = reader.read_number("cores", most, 0.0, most)
-    memory_gb = reader.read_number("memory_gb", most, 0.0, most)
+def _read_limit(reader: MappingReader) -> Resources:
+    maximum = float(UNLIMITED_AMOUNT)
+    cores = reader.read_number("cores", maximum, 0.0, maximum)
+    memory_gb = reader.read_number("memory_gb", maximum, 0.0, maximum)
     limit = Resources(
         cpu_millis=min(int(cores * MILLIS_PER_CORE), UNLIMITED_AMOUNT),
         memory_mb=min(int(memory_gb * MB_PER_GB), UNLIMITED_AMOUNT),
@@ -120,7 +122,7 @@
     return limit
 
 
-def _pool(reader: MappingReader) -> PoolConfig:
+def _read_pool(reader: MappingReader) -> PoolConfig:
     order = OrderWeights()
     order_reader = reader.read_mapping("order")
     if order_reader is not None:
@@ -140,7 +142,7 @@
     return pool
 
 
-def _queue(reader: MappingReader, top: MappingReader) -> QueueConfig:
+def _read_queue(reader: MappingReader, root_reader: MappingReader) -> QueueConfig:
     kinds: list[WorkKind] = []
     for text in reader.read_text_list("kinds"):
         try:
@@ -155,9 +157,9 @@
         kinds=tuple(kinds) or tuple(WorkKind),
         urgent=reader.read_boolean("urgent", True),
     )
-    if queue.pool and queue.pool not in _names(top, "pools"):
+    if queue.pool and queue.pool not in _get_field_names(root_reader, "pools"):
         reader.add_problem(f"there is no pool {queue.pool!r}", "pool")
-    teams = _names(top, "teams")
+    teams = _get_field_names(root_reader, "teams")
     for team in queue.teams:
         if team not in teams:
             reader.add_problem(f"there is no team {team!r}", "teams")
@@ -165,8 +167,8 @@
     return queue
 
 
-def _names(top: MappingReader, name: str) -> set[str]:
-    node = (top.node.fields or {}).get(name)
+def _get_field_names(root_reader: MappingReader, name: str) -> set[str]:
+    node = (root_reader.node.fields or {}).get(name)
     if node is None or node.fields is None:
         return set()
     return set(node.fields)
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -8,7 +8,7 @@
 
 from fuchsiadale.config.documents import DocumentNode, Location, Problem
 
-BODY = "body"
+BODY_FILE_NAME = "body"
 
 
 def parse_json_object(body: bytes) -> Result[DocumentNode, list[Problem]]:
@@ -16,23 +16,23 @@
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Err([Problem(Location(BODY, 1), "", f"is not JSON: {error}")])
+        return Err([Problem(Location(BODY_FILE_NAME, 1), "", f"is not JSON: {error}")])
     if not isinstance(value, dict):
-        return Err([Problem(Location(BODY, 1), "", "must be an object")])
-    return Ok(_locate(value, ""))
+        return Err([Problem(Location(BODY_FILE_NAME, 1), "", "must be an object")])
+    return Ok(_build_node(value, ""))
 
 
-def _locate(value: object, path: str) -> DocumentNode:
-    location = Location(BODY, 1)
+def _build_node(value: object, path: str) -> DocumentNode:
+    location = Location(BODY_FILE_NAME, 1)
     if isinstance(value, dict):
         fields = {
-            name: _locate(inner, f"{path}.{name}" if path else name)
+            name: _build_node(inner, f"{path}.{name}" if path else name)
             for name, inner in value.items()
         }
         return DocumentNode(location, path, fields=fields)
     if isinstance(value, list):
         items = [
-            _locate(inner, f"{path}[{index}]") for index, inner in enumerate(value)
+            _build_node(inner, f"{path}[{index}]") for index, inner in enumerate(value)
         ]
         return DocumentNode(location, path, items=items)
     return DocumentNode(location, path, scalar=value)
--- a/src/fuchsiadale/config/model.py
+++ b/src/fuchsiadale/config/model.py
@@ -118,8 +118,8 @@
         record = self.keys.get(parts[1])
         digest = hash_secret(parts[2])
         expected = record.sha256 if record is not None else hash_secret("")
-        matches = hmac.compare_digest(digest, expected)
-        return record.team if record is not None and matches else None
+        is_match = hmac.compare_digest(digest, expected)
+        return record.team if record is not None and is_match else None
 
 
 @frozen
--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -27,7 +27,7 @@
     def __init__(self, node: DocumentNode, problems: list[Problem]) -> None:
         self._node = node
         self._problems = problems
-        self._known: set[str] = set()
+        self._known_names: set[str] = set()
         if node.fields is None:
             self.add_problem("must be a mapping")
 
@@ -46,7 +46,7 @@
 
     def read_text(self, name: str, default: str | None = None) -> str:
         """Return a text field; it is required if there is no default."""
-        node = self._find(name, required=default is None)
+        node = self._get_field(name, required=default is None)
         if node is None:
             return default or ""
         if not isinstance(node.scalar, str):
@@ -61,39 +61,39 @@
             self.add_problem("must be lower-case letters, digits and hyphens", name)
         return value
 
-    def read_integer(self, name: str, default: int, least: int, most: int) -> int:
+    def read_integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
         """Return a whole number within bounds."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int) or isinstance(value, bool):
             self.add_problem("must be a whole number", name)
             return default
-        if not least <= value <= most:
-            self.add_problem(f"must be from {least} to {most}", name)
+        if not minimum <= value <= maximum:
+            self.add_problem(f"must be from {minimum} to {maximum}", name)
             return default
         return value
 
     def read_number(
-        self, name: str, default: float, least: float, most: float
+        self, name: str, default: float, minimum: float, maximum: float
     ) -> float:
         """Return a number within bounds."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int | float) or isinstance(value, bool):
             self.add_problem("must be a number", name)
             return default
-        if not least <= value <= most:
-            self.add_problem(f"must be from {least:g} to {most:g}", name)
+        if not minimum <= value <= maximum:
+            self.add_problem(f"must be from {minimum:g} to {maximum:g}", name)
             return default
         return float(value)
 
     def read_boolean(self, name: str, default: bool) -> bool:
         """Return a yes or no."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return default
         if not isinstance(node.scalar, bool):
@@ -103,53 +103,53 @@
 
     def read_text_list(self, name: str) -> list[str]:
         """Return a list of texts; empty if it is missing."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return []
         if node.items is None:
             self.add_problem("must be a list", name)
             return []
-        found: list[str] = []
+        texts: list[str] = []
         for item in node.items:
             if isinstance(item.scalar, str):
-                found.append(item.scalar)
+                texts.append(item.scalar)
             else:
                 self._problems.append(Problem(item.location, item.path, "must be text"))
-        return found
+        return texts
 
     def read_mapping(self, name: str) -> MappingReader | None:
         """Return the reader of an inner mapping, or None if it is missing."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return None
         return MappingReader(node, self._problems)
 
     def read_named_mappings(self, name: str) -> Iterator[tuple[str, MappingReader]]:
         """Yield the inner mappings of a field, by name."""
-        node = self._find(name)
+        node = self._get_field(name)
         if node is None:
             return
         if node.fields is None:
             self.add_problem("must be a mapping", name)
             return
-        for inner, value in node.fields.items():
+        for inner_name, value in node.fields.items():
             reader = MappingReader(value, self._problems)
-            if not NAME_PATTERN.fullmatch(inner):
+            if not NAME_PATTERN.fullmatch(inner_name):
                 reader.add_problem("names are lower-case letters, digits and hyphens")
-            yield inner, reader
+            yield inner_name, reader
 
     def report_unknown_fields(self) -> None:
         """Complain of every field that was not read."""
         for name in self._fields():
-            if name not in self._known:
-                known = ", ".join(sorted(self._known))
+            if name not in self._known_names:
+                known = ", ".join(sorted(self._known_names))
                 self.add_problem(f"unknown field; known are {known}", name)
 
     def _fields(self) -> dict[str, DocumentNode]:
         return self._node.fields or {}
 
-    def _find(self, name: str, required: bool = False) -> DocumentNode | None:
-        self._known.add(name)
+    def _get_field(self, name: str, required: bool = False) -> DocumentNode | None:
+        self._known_names.add(name)
         node = self._fields().get(name)
         if node is None and required:
             self.add_problem("is missing", name)
--- a/src/fuchsiadale/config/settings.py
+++ b/src/fuchsiadale/config/settings.py
@@ -86,10 +86,10 @@
         host=reader.read_name("host"),
         region=reader.read_name("region", "local"),
         failure_domain=reader.read_name("failure_domain"),
-        callers=_address(reader, "callers"),
-        peers=_address(reader, "peers"),
+        callers=_read_address(reader, "callers"),
+        peers=_read_address(reader, "peers"),
         platform_url=reader.read_text("platform_url"),
-        statsd=_optional_address(reader, "statsd"),
+        statsd=_read_optional_address(reader, "statsd"),
         admin_key_sha256=tuple(reader.read_text_list("admin_key_sha256")),
         drain_notice_s=reader.read_number(
             "drain_notice_s", DRAIN_NOTICE_DEFAULT_S, 0.0, 60.0
@@ -104,7 +104,7 @@
     return Err(sorted(problems)) if problems else Ok(settings)
 
 
-def _address(reader: MappingReader, name: str) -> Address:
+def _read_address(reader: MappingReader, name: str) -> Address:
     text = reader.read_text(name)
     ip, separator, port = text.rpartition(":")
     if not text:
@@ -115,8 +115,8 @@
     return Address(ip, int(port))
 
 
-def _optional_address(reader: MappingReader, name: str) -> Address | None:
+def _read_optional_address(reader: MappingReader, name: str) -> Address | None:
     if name not in (reader.node.fields or {}):
         reader.read_text(name, "")
         return None
-    return _address(reader, name)
+    return _read_address(reader, name)
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -120,8 +120,8 @@
             if driver is None or driver.address != info.address:
                 self._open_worker(info)
         for name in set(self._workers) - set(listed):
-            self._supervisor.cancel(f"{name}/session")
-            self._supervisor.cancel(f"{name}/orders")
+            self._supervisor.cancel_child(f"{name}/session")
+            self._supervisor.cancel_child(f"{name}/orders")
             del self._workers[name]
         self.kick()
 
--- a/src/fuchsiadale/entry/peer_set.py
+++ b/src/fuchsiadale/entry/peer_set.py
@@ -73,7 +73,7 @@
             self._clients[name] = client
             self._start_collecting(client)
         for name in set(self._clients) - set(members):
-            self._supervisor.cancel(f"collect/{name}")
+            self._supervisor.cancel_child(f"collect/{name}")
             await self._clients.pop(name).close()
             self._on_gone(name)
 
--- a/src/fuchsiadale/metrics.py
+++ b/src/fuchsiadale/metrics.py
@@ -10,7 +10,7 @@
 
 from fuchsiadale.config.settings import Address
 
-PREFIX = "fuchsiadale"
+STATSD_PREFIX = "fuchsiadale"
 
 
 class Counters(ABC):
@@ -48,7 +48,9 @@
 
     def __init__(self, address: Address) -> None:
         super().__init__()
-        self._client = statsd.StatsClient(address.ip, address.port, prefix=PREFIX)
+        self._client = statsd.StatsClient(
+            address.ip, address.port, prefix=STATSD_PREFIX
+        )
 
     def add(self, name: str, count: int = 1) -> None:
         """Count an event."""
--- a/src/fuchsiadale/peers/client.py
+++ b/src/fuchsiadale/peers/client.py
@@ -41,7 +41,7 @@
 BATCH_DELAY_S = 0.001
 MAX_MESSAGE_BYTES = 64 << 20
 
-_OPTIONS = [
+_CHANNEL_OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
     ("grpc.keepalive_timeout_ms", 1000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -55,7 +55,7 @@
 
 
 @frozen
-class _Pending:
+class _PendingSubmission:
     submission: Submission
     outcome: asyncio.Future[Result[str, Refusal]]
 
@@ -63,8 +63,8 @@
 @define
 class _Batch:
     reply_to: str = ""
-    pending: list[_Pending] = field(factory=list)
-    is_due: bool = False
+    pending: list[_PendingSubmission] = field(factory=list)
+    is_scheduled: bool = False
 
 
 class PeerClient(Peer):
@@ -84,11 +84,11 @@
     def __init__(self, member: str, address: str) -> None:
         self._member = member
         self._address = address
-        self._channel = grpc.aio.insecure_channel(address, options=_OPTIONS)
+        self._channel = grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         self._stub = PeerStub(self._channel)
         # Jobs wait for their record, so they do not share batches with requests.
-        self._requests = _Batch()
-        self._jobs = _Batch()
+        self._request_batch = _Batch()
+        self._job_batch = _Batch()
 
     @property
     def member(self) -> str:
@@ -105,13 +105,13 @@
         """Submit work for a member; return the id of the work accepted."""
         loop = asyncio.get_running_loop()
         is_request = submission.kind is WorkKind.REQUEST
-        batch = self._requests if is_request else self._jobs
+        batch = self._request_batch if is_request else self._job_batch
         outcome: asyncio.Future[Result[str, Refusal]] = loop.create_future()
         batch.reply_to = reply_to
-        batch.pending.append(_Pending(submission, outcome))
-        if not batch.is_due:
-            batch.is_due = True
-            loop.call_later(BATCH_DELAY_S, self._flush, batch)
+        batch.pending.append(_PendingSubmission(submission, outcome))
+        if not batch.is_scheduled:
+            batch.is_scheduled = True
+            loop.call_later(BATCH_DELAY_S, self._send_batch, batch)
         return await outcome
 
     async def cancel(
@@ -124,21 +124,21 @@
         try:
             reply = await self._stub.Cancel(request, timeout=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
-            return Err(await self._failed(error))
+            return Err(await self._handle_call_error(error))
         if reply.HasField("failure"):
             return Err(decode_refusal(reply.failure))
-        return self._decoded(reply.view, WorkView)
+        return self._decode_body(reply.view, WorkView)
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
-        views = await self._show(ShowRequest(work_id=work_id), hold_s)
+        views = await self._fetch_views(ShowRequest(work_id=work_id), hold_s)
         return views.map(lambda found: found[0])
 
     async def list_team_jobs(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
-        return await self._show(ShowRequest(partition=partition, team=team), 0.0)
+        return await self._fetch_views(ShowRequest(partition=partition, team=team), 0.0)
 
     async def inspect(self, partition: str) -> Result[PartitionView, Refusal]:
         """Return a view of a partition for operators."""
@@ -146,17 +146,17 @@
         try:
             reply = await self._stub.Inspect(request, timeout=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
-            return Err(await self._failed(error))
+            return Err(await self._handle_call_error(error))
         if reply.HasField("failure"):
             return Err(decode_refusal(reply.failure))
-        return self._decoded(reply.view, PartitionView)
+        return self._decode_body(reply.view, PartitionView)
 
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
         """Exchange versions and usage."""
         try:
             reply = await self._stub.Gossip(request, timeout=GOSSIP_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
-            return Err(await self._failed(error))
+            return Err(await self._handle_call_error(error))
         return Ok(reply)
 
     async def collect(
@@ -187,7 +187,7 @@
                     request, timeout=COLLECT_HOLD_S + GOSSIP_TIMEOUT_S
                 )
             except grpc.aio.AioRpcError as error:
-                await self._failed(error)
+                await self._handle_call_error(error)
                 await asyncio.sleep(COLLECT_RETRY_S)
                 continue
             for body in reply.views:
@@ -196,15 +196,18 @@
                     deliver(view.ok_value)
             received_through = reply.through
 
-    def _flush(self, batch: _Batch) -> None:
+    def _send_batch(self, batch: _Batch) -> None:
         pending = batch.pending
         batch.pending = []
-        batch.is_due = False
+        batch.is_scheduled = False
         asyncio.get_running_loop().create_task(
-            self._send(pending, batch.reply_to), name=f"submit to {self._member}"
+            self._send_submissions(pending, batch.reply_to),
+            name=f"submit to {self._member}",
         )
 
-    async def _send(self, pending: list[_Pending], reply_to: str) -> None:
+    async def _send_submissions(
+        self, pending: list[_PendingSubmission], reply_to: str
+    ) -> None:
         request = SubmitRequest(
             member=reply_to,
             submissions=[encode(each.submission) for each in pending],
@@ -212,20 +215,22 @@
         try:
             reply = await self._stub.Submit(request, timeout=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
-            refusal = await self._failed(error)
+            refusal = await self._handle_call_error(error)
             for each in pending:
-                _settle(each, Err(refusal))
+                _set_outcome(each, Err(refusal))
             return
-        self._settle_all(pending, reply)
+        self._set_outcomes(pending, reply)
 
-    def _settle_all(self, pending: list[_Pending], reply: SubmitReply) -> None:
+    def _set_outcomes(
+        self, pending: list[_PendingSubmission], reply: SubmitReply
+    ) -> None:
         for each, result in zip(pending, reply.results, strict=False):
             if result.HasField("failure"):
-                _settle(each, Err(decode_refusal(result.failure)))
+                _set_outcome(each, Err(decode_refusal(result.failure)))
             else:
-                _settle(each, Ok(result.work_id))
+                _set_outcome(each, Ok(result.work_id))
         for each in pending[len(reply.results) :]:
-            _settle(
+            _set_outcome(
                 each,
                 Err(
                     make_unknown_outcome_refusal(
@@ -234,36 +239,38 @@
                 ),
             )
 
-    async def _show(
+    async def _fetch_views(
         self, request: ShowRequest, hold_s: float
     ) -> Result[list[WorkView], Refusal]:
         request.hold_ms = int(hold_s * 1000)
         try:
             reply = await self._stub.Show(request, timeout=CALL_TIMEOUT_S + hold_s)
         except grpc.aio.AioRpcError as error:
-            return Err(await self._failed(error))
+            return Err(await self._handle_call_error(error))
         if reply.HasField("failure"):
             return Err(decode_refusal(reply.failure))
         views: list[WorkView] = []
         for body in reply.views:
-            view = self._decoded(body, WorkView)
+            view = self._decode_body(body, WorkView)
             if isinstance(view, Err):
                 return view
             views.append(view.ok_value)
         return Ok(views)
 
-    def _decoded(self, body: bytes, as_type: type[T]) -> Result[T, Refusal]:
+    def _decode_body(self, body: bytes, as_type: type[T]) -> Result[T, Refusal]:
         return decode(body, as_type).map_err(
             lambda message: make_unknown_outcome_refusal(self._member, message)
         )
 
-    async def _failed(self, error: grpc.aio.AioRpcError) -> Refusal:
+    async def _handle_call_error(self, error: grpc.aio.AioRpcError) -> Refusal:
         """Return the refusal for a failed call; a silent channel is replaced."""
         if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
-            silent = self._channel
-            self._channel = grpc.aio.insecure_channel(self._address, options=_OPTIONS)
+            silent_channel = self._channel
+            self._channel = grpc.aio.insecure_channel(
+                self._address, options=_CHANNEL_OPTIONS
+            )
             self._stub = PeerStub(self._channel)
-            await silent.close()
+            await silent_channel.close()
         return make_unknown_outcome_refusal(self._member, error.code().name.lower())
 
 
@@ -275,6 +282,6 @@
         return PeerClient(member, address)
 
 
-def _settle(pending: _Pending, outcome: Result[str, Refusal]) -> None:
+def _set_outcome(pending: _PendingSubmission, outcome: Result[str, Refusal]) -> None:
     if not pending.outcome.done():
         pending.outcome.set_result(outcome)
--- a/src/fuchsiadale/peers/results.py
+++ b/src/fuchsiadale/peers/results.py
@@ -30,7 +30,7 @@
 
 
 @frozen
-class _Parcel:
+class _UndeliveredResult:
     number: int
     view: WorkView
     on_delivered: DeliveryCallback
@@ -38,9 +38,9 @@
 
 @define
 class _Outbox:
-    parcels: deque[_Parcel] = field(factory=deque)
-    count: int = 0
-    changed: asyncio.Event = field(factory=asyncio.Event)
+    results: deque[_UndeliveredResult] = field(factory=deque)
+    last_number: int = 0
+    result_added: asyncio.Event = field(factory=asyncio.Event)
 
 
 class ResultOutboxes:
@@ -52,7 +52,7 @@
     @property
     def pending_count(self) -> int:
         """Number of results that have not been fetched."""
-        return sum(len(outbox.parcels) for outbox in self._outboxes.values())
+        return sum(len(outbox.results) for outbox in self._outboxes.values())
 
     def add_result(
         self, member: str, view: WorkView, on_delivered: DeliveryCallback
@@ -69,9 +69,11 @@
             Called when the member has the result.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
-        outbox.count += 1
-        outbox.parcels.append(_Parcel(outbox.count, view, on_delivered))
-        outbox.changed.set()
+        outbox.last_number += 1
+        outbox.results.append(
+            _UndeliveredResult(outbox.last_number, view, on_delivered)
+        )
+        outbox.result_added.set()
 
     async def collect(
         self, member: str, received_through: int, hold_s: float
@@ -88,17 +90,17 @@
             Seconds to wait while there are none.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
-        while outbox.parcels and outbox.parcels[0].number <= received_through:
-            outbox.parcels.popleft().on_delivered()
-        if not outbox.parcels:
-            outbox.changed.clear()
+        while outbox.results and outbox.results[0].number <= received_through:
+            outbox.results.popleft().on_delivered()
+        if not outbox.results:
+            outbox.result_added.clear()
             try:
                 async with asyncio.timeout(hold_s):
-                    await outbox.changed.wait()
+                    await outbox.result_added.wait()
             except TimeoutError:
                 pass
-        views = [parcel.view for parcel in outbox.parcels]
-        return CollectedResults(outbox.count, views)
+        views = [result.view for result in outbox.results]
+        return CollectedResults(outbox.last_number, views)
 
     def drop_member(self, member: str) -> None:
         """Drop the results of a member that is gone."""
--- a/src/fuchsiadale/peers/service.py
+++ b/src/fuchsiadale/peers/service.py
@@ -39,7 +39,7 @@
 MAX_MESSAGE_BYTES = 64 << 20
 STOP_GRACE_S = 1.0
 
-_OPTIONS = [
+_SERVER_OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.http2.min_recv_ping_interval_without_data_ms", 1000),
@@ -69,7 +69,7 @@
     ) -> None:
         self._gateway = gateway
         self._outboxes = outboxes
-        self._gossip = gossip
+        self._answer_gossip = gossip
 
     async def Submit(  # noqa: N802
         self, request: SubmitRequest, context: Context
@@ -127,7 +127,7 @@
         self, request: GossipRequest, context: Context
     ) -> GossipReply:
         """Exchange versions and usage."""
-        return self._gossip(request)
+        return self._answer_gossip(request)
 
     async def _submit(self, body: bytes, member: str) -> SubmitResult:
         submission = decode(body, Submission)
@@ -152,7 +152,7 @@
     """
 
     def __init__(self, service: PeerService, address: str) -> None:
-        self._server = grpc.aio.server(options=_OPTIONS)
+        self._server = grpc.aio.server(options=_SERVER_OPTIONS)
         add_PeerServicer_to_server(service, self._server)
         self.port = self._server.add_insecure_port(address)
 
--- a/src/fuchsiadale/supervisor.py
+++ b/src/fuchsiadale/supervisor.py
@@ -37,12 +37,12 @@
 
     def start(self, name: str, main: ChildMain) -> None:
         """Run a child; one of the same name is ended first."""
-        self.cancel(name)
+        self.cancel_child(name)
         task = asyncio.get_running_loop().create_task(
-            self._keep_running(name, main), name=f"{self._name}/{name}"
+            self._run_with_restarts(name, main), name=f"{self._name}/{name}"
         )
         self._children[name] = task
-        task.add_done_callback(lambda done: self._forget(name, done))
+        task.add_done_callback(lambda done: self._discard_child(name, done))
 
     def add_supervisor(self, name: str) -> Supervisor:
         """Return a new supervisor below this one."""
@@ -50,7 +50,7 @@
         self._supervisors[name] = child
         return child
 
-    def cancel(self, name: str) -> None:
+    def cancel_child(self, name: str) -> None:
         """End a child if it runs."""
         task = self._children.pop(name, None)
         if task is not None:
@@ -75,7 +75,7 @@
         if child is not None:
             await child.stop()
 
-    async def _keep_running(self, name: str, main: ChildMain) -> None:
+    async def _run_with_restarts(self, name: str, main: ChildMain) -> None:
         delay_s = RESTART_DELAY_S
         while True:
             try:
@@ -92,6 +92,6 @@
                 await asyncio.sleep(delay_s)
                 delay_s = min(2 * delay_s, MAX_RESTART_DELAY_S)
 
-    def _forget(self, name: str, task: asyncio.Task[None]) -> None:
+    def _discard_child(self, name: str, task: asyncio.Task[None]) -> None:
         if self._children.get(name) is task:
             del self._children[name]
--- a/tests/test_config_files.py
+++ b/tests/test_config_files.py
@@ -18,20 +18,20 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
 
-def cases(folder: str) -> list[str]:
+def list_cases(folder: str) -> list[str]:
     """Return the names of the cases in a folder."""
     return sorted(path.stem for path in (DATA / folder).glob("*.input"))
 
 
-def compare(folder: str, name: str, shown: str) -> None:
+def assert_matches_expected(folder: str, name: str, output: str) -> None:
     """Compare with the expected file, or write it when recording."""
     expected = DATA / folder / f"{name}.expected"
     if os.environ.get("FUCHSIADALE_RECORD"):
-        expected.write_text(shown, "utf-8")
-    assert shown == expected.read_text("utf-8")
+        expected.write_text(output, "utf-8")
+    assert output == expected.read_text("utf-8")
 
 
-def source_files(text: str) -> list[SourceFile]:
+def split_source_files(text: str) -> list[SourceFile]:
     """Return the files of a case: each begins with a line ``--- <name>``."""
     files = []
     for part in text.split("--- ")[1:]:
@@ -40,26 +40,26 @@
     return files
 
 
-@pytest.mark.parametrize("name", cases("config"))
-def test_configuration_case(name: str) -> None:
+@pytest.mark.parametrize("name", list_cases("config"))
+def test_reading_configuration_gives_expected_output(name: str) -> None:
     text = (DATA / "config" / f"{name}.input").read_text("utf-8")
-    read = read_configuration(source_files(text))
-    if isinstance(read, Err):
-        shown = "".join(f"{problem}\n" for problem in read.err_value)
+    reading = read_configuration(split_source_files(text))
+    if isinstance(reading, Err):
+        output = "".join(f"{problem}\n" for problem in reading.err_value)
     else:
-        shown = json.dumps(cattrs.unstructure(read.ok_value), indent=1) + "\n"
-    compare("config", name, shown)
+        output = json.dumps(cattrs.unstructure(reading.ok_value), indent=1) + "\n"
+    assert_matches_expected("config", name, output)
 
 
-@pytest.mark.parametrize("name", cases("settings"))
-def test_settings_case(name: str) -> None:
+@pytest.mark.parametrize("name", list_cases("settings"))
+def test_reading_settings_gives_expected_output(name: str) -> None:
     text = (DATA / "settings" / f"{name}.input").read_text("utf-8")
-    read = read_settings(SourceFile("entry.yaml", text))
-    if isinstance(read, Err):
-        shown = "".join(f"{problem}\n" for problem in read.err_value)
+    reading = read_settings(SourceFile("entry.yaml", text))
+    if isinstance(reading, Err):
+        output = "".join(f"{problem}\n" for problem in reading.err_value)
     else:
-        shown = json.dumps(cattrs.unstructure(read.ok_value), indent=1) + "\n"
-    compare("settings", name, shown)
+        output = json.dumps(cattrs.unstructure(reading.ok_value), indent=1) + "\n"
+    assert_matches_expected("settings", name, output)
 
 
 @pytest.mark.parametrize("user", ["guild", "typha"])
