--- a/src/fuchsiadale/__init__.py
+++ b/src/fuchsiadale/__init__.py
@@ -1,1 +1,1 @@
-"""A cluster scheduler for unlike workloads."""
+"""Cluster scheduler for requests, batch jobs, gangs and services."""
--- a/src/fuchsiadale/cli/__init__.py
+++ b/src/fuchsiadale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command line interface."""
--- a/src/fuchsiadale/cli/client.py
+++ b/src/fuchsiadale/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls the HTTP interfaces of an entry for the command line."""
+"""Client of an entry's HTTP interfaces for the command line."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from attrs import frozen
 
 CLIENT_TIMEOUT_S = 90.0
+"""Seconds allowed for a whole call."""
 
 
 @frozen
 class Reply:
-    """An entry's answer.
+    """Reply of an entry to one call.
 
     Attributes
     ----------
     status : int
-        Status code; 0 if the entry was not reached.
+        HTTP status code; 0 if no valid reply arrived.
     body : Any
-        The JSON body, or a sentence about why there is none.
+        Decoded JSON body, or an error message if no valid reply arrived.
     """
 
     status: int
@@ -28,20 +29,20 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether the call was granted."""
+        """Whether the call succeeded."""
         return 200 <= self.status < 300
 
 
 @frozen
 class EntryClient:
-    """Calls one entry.
+    """Client of one entry.
 
     Attributes
     ----------
     url : str
-        Where it listens for callers.
+        Base URL of the entry.
     key : str
-        The key to show; empty for none.
+        Key sent with each call; empty to send none.
     """
 
     url: str
@@ -54,7 +55,7 @@
         body: object = None,
         idempotency_key: str = "",
     ) -> Reply:
-        """Make one call and wait for its answer."""
+        """Send a request and return the reply, outside an event loop."""
         return asyncio.run(self.call_async(method, path, body, idempotency_key))
 
     async def call_async(
@@ -64,7 +65,7 @@
         body: object = None,
         idempotency_key: str = "",
     ) -> Reply:
-        """Make one call inside a running loop."""
+        """Send a request and return the reply, inside a running event loop."""
         headers: dict[str, str] = {}
         if self.key:
             headers["Authorization"] = f"Bearer {self.key}"
@@ -80,4 +81,4 @@
             ):
                 return Reply(response.status, await response.json(content_type=None))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            return Reply(0, f"{self.url} was not reached: {error}")
+            return Reply(0, f"no valid reply from {self.url}: {error}")
--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration that `fuchsiadale dev` runs."""
+"""Demonstration that the command ``fuchsiadale dev`` runs."""
 
 from __future__ import annotations
 
@@ -11,13 +11,31 @@
 from fuchsiadale.standin.dev import DevSystem
 
 POLL_INTERVAL_S = 0.05
+"""Seconds between two checks whether the entry is ready or a job has advanced."""
+
 READY_TIMEOUT_S = 20.0
+"""Longest wait for the entry to become ready, in seconds."""
+
 JOB_TIMEOUT_S = 20.0
+"""Longest wait for a job of the demonstration, in seconds."""
 
 
 @frozen
 class DemoResult:
-    """What one piece of work of the demonstration did."""
+    """Result of one piece of work of the demonstration.
+
+    Attributes
+    ----------
+    kind : str
+        Kind of the work.
+    state : str
+        Outcome or states of the tasks, or an error message.
+    ran_on : str
+        Names of the workers that the tasks ran on.
+    waited_s : float
+        Longest time from a task's acceptance to its first start, in seconds; 0 for a
+        request.
+    """
 
     kind: str
     state: str
@@ -31,7 +49,7 @@
     Parameters
     ----------
     system : DevSystem
-        The system to run it on.
+        System that runs the work.
     """
 
     def __init__(self, system: DevSystem) -> None:
@@ -40,9 +58,14 @@
         self._caller_client = self._admin_client
 
     async def prepare(self) -> str | None:
-        """Apply the configuration and make a key; return what went wrong, if anything.
+        """Apply the configuration, create a team's key and wait for readiness.
+
+        Later calls of the demonstration send the key.
 
-        The caller's key is kept for the runs that follow.
+        Returns
+        -------
+        str or None
+            Error message, or None if every step succeeded.
         """
         files = {source.name: source.text for source in self._system.files()}
         apply_reply = await self._admin_client.call_async(
@@ -53,7 +76,7 @@
         config_reply = await self._admin_client.call_async("GET", "/admin/v1/config")
         team = next(iter(config_reply.body["configuration"]["teams"]), None)
         if team is None:
-            return "the configuration has no team"
+            return "the configuration has no team; at least one is required"
         key_reply = await self._admin_client.call_async(
             "POST", "/admin/v1/keys", {"team": team}
         )
@@ -89,10 +112,18 @@
             if ready_reply.is_ok:
                 return None
             await asyncio.sleep(POLL_INTERVAL_S)
-        return "the entry did not become ready"
+        return "the entry did not become ready in time"
 
     async def _run_job(self, body: dict[str, Any], awaited_state: str) -> DemoResult:
-        """Submit a job and wait until it is final, or until all its tasks run."""
+        """Submit a job and wait until it is final or all its tasks are running.
+
+        Parameters
+        ----------
+        body : dict
+            Body of the submission.
+        awaited_state : str
+            "final", or the state that all tasks must reach.
+        """
         submit_reply = await self._caller_client.call_async(
             "POST", "/v1/queues/proofs/jobs", body
         )
--- a/src/fuchsiadale/cli/exits.py
+++ b/src/fuchsiadale/cli/exits.py
@@ -1,10 +1,17 @@
-"""Exit codes of the command."""
+"""Exit codes of the commands."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command.
+
+    ``REFUSED`` means that the system refused the call, ``USAGE`` that the command line
+    is wrong, ``INVALID`` that the settings or the configuration are invalid,
+    ``UNREACHABLE`` that no valid reply arrived from the entry, ``WORK_FAILED`` that the
+    work did not succeed or did not end in time, and ``CANNOT_LISTEN`` that the process
+    cannot listen on an address.
+    """
 
     OK = 0
     REFUSED = 1
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells a job's story."""
+"""Command that prints the history of a job."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 @click.argument("job_id")
 @click.argument("logs", nargs=-1, type=click.File("r"))
 def explain(job_id: str, logs: tuple[TextIO, ...]) -> None:
-    """Print what happened to JOB_ID, from the LOGS of a cell's processes.
+    """Print the history of job JOB_ID from the LOGS of a cell's processes.
 
-    Reads standard input if no log is named.
+    Reads standard input if no log is given.
     """
     lines = [line for log in logs or (sys.stdin,) for line in log]
     history = story_of(job_id, lines)
     if not history:
-        exit_with_error(f"no line names job {job_id}", ExitCode.REFUSED)
+        exit_with_error(f"no log line names job {job_id}", ExitCode.REFUSED)
     for line in history:
         click.echo(str(line))
--- a/src/fuchsiadale/cli/jobs.py
+++ b/src/fuchsiadale/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Callers' commands."""
+"""Commands for callers."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 )
 
 MAX_WAIT_PER_CALL_S = 30.0
+"""Longest time that one call waits for a job to end, in seconds."""
 
 KEY_OPTION = click.option(
-    "--key", envvar="FUCHSIADALE_KEY", default="", help="The team's key."
+    "--key", envvar="FUCHSIADALE_KEY", default="", help="Key of the team."
 )
 
 
 @click.group()
 def job() -> None:
-    """Submit, watch and end jobs."""
+    """Submit, show, wait for, cancel and list jobs."""
 
 
 @job.command("submit")
@@ -38,7 +39,7 @@
 @click.option("--cores", default=1.0, show_default=True)
 @click.option("--memory-gb", default=1.0, show_default=True)
 @click.option("--accelerators", default=0, show_default=True)
-@click.option("--run-s", default=0.0, help="Seconds that a task is said to run.")
+@click.option("--run-s", default=0.0, help="Expected run time of a task, in seconds.")
 @click.option("--urgent", is_flag=True)
 @click.option("--idempotent/--not-idempotent", default=True, show_default=True)
 @click.option("--idempotency-key", default="")
@@ -62,7 +63,7 @@
     key: str,
     output: str,
 ) -> None:
-    """Submit a job that runs PROGRAM by way of QUEUE; print its id."""
+    """Submit a job that runs PROGRAM to QUEUE and print the job's id."""
     body = {
         "kind": kind,
         "program": program,
@@ -109,7 +110,7 @@
 def wait_for_job(
     work_id: str, timeout_s: float, url: str, key: str, output: str
 ) -> None:
-    """Wait until a job has ended; fail unless every task succeeded."""
+    """Wait until a job has ended; fail unless every task succeeds in time."""
     client = EntryClient(url, key)
     remaining_s = timeout_s
     while True:
@@ -121,10 +122,12 @@
             break
     _print_job(body, output)
     if not body["final"]:
-        exit_with_error(f"job {work_id} has not ended", ExitCode.WORK_FAILED)
+        exit_with_error(
+            f"job {work_id} did not end before the timeout", ExitCode.WORK_FAILED
+        )
     if any(task["state"] != "succeeded" for task in body["tasks"]):
         exit_with_error(
-            f"not every task of job {work_id} succeeded", ExitCode.WORK_FAILED
+            f"at least one task of job {work_id} did not succeed", ExitCode.WORK_FAILED
         )
 
 
@@ -134,7 +137,7 @@
 @KEY_OPTION
 @OUTPUT_OPTION
 def cancel_job(work_id: str, url: str, key: str, output: str) -> None:
-    """End a job; what has not started never runs."""
+    """Cancel a job; tasks that have not started never run."""
     reply = EntryClient(url, key).call("POST", f"/v1/jobs/{work_id}/cancel")
     _print_job(get_body_or_exit(reply), output)
 
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -1,4 +1,4 @@
-"""The `fuchsiadale` command."""
+"""The ``fuchsiadale`` command."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="fuchsiadale")
 def main() -> None:
-    """Schedule unlike workloads on a cluster.
+    """Schedule requests, batch jobs, gangs and services on a cluster.
 
-    Exit codes: 0 done; 1 refused; 2 wrong usage; 3 invalid settings or
-    configuration; 4 the entry was not reached; 5 the work did not succeed; 6 an
-    address cannot be listened on.
+    Exit codes: 0 success; 1 refused; 2 wrong usage; 3 invalid settings or
+    configuration; 4 no valid reply from the entry; 5 the work did not succeed; 6 the
+    process cannot listen on an address.
     """
 
 
@@ -50,7 +50,7 @@
     "settings_file", type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
 def entry(settings_file: Path) -> None:
-    """Run the entry daemon with the settings in SETTINGS_FILE."""
+    """Run an entry with the settings in SETTINGS_FILE."""
     settings = read_settings_file(settings_file)
     if isinstance(settings, Err):
         lines = [str(problem) for problem in settings.err_value]
@@ -60,17 +60,22 @@
 
 
 @main.command()
-@click.option("--port", default=8800, show_default=True, help="0 for any free port.")
+@click.option(
+    "--port",
+    default=8800,
+    show_default=True,
+    help="Port for callers; 0 for any free port.",
+)
 @click.option(
     "--config",
     "folder",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="The operators' folder to apply.",
+    help="Folder of configuration files to apply.",
 )
-@click.option("--serve", is_flag=True, help="Stay up after the demonstration.")
+@click.option("--serve", is_flag=True, help="Keep running after the demonstration.")
 @click.option("--log", is_flag=True, help="Write the log to stderr.")
 def dev(port: int, folder: Path | None, serve: bool, log: bool) -> None:
-    """Run a whole system in this process and one piece of work of each kind."""
+    """Run a whole system in this process, with one piece of work of each kind."""
     if log:
         log_to_stderr()
     options = DevOptions(Address(LOOPBACK, port), folder)
@@ -79,13 +84,13 @@
 
 @main.group("stand-in")
 def stand_in() -> None:
-    """Run stand-ins for what surrounds the system."""
+    """Run stand-ins for the platform and for backend servers."""
 
 
 @stand_in.command("platform")
 @click.option("--port", default=8700, show_default=True)
 def stand_in_platform(port: int) -> None:
-    """Run the platform's stand-in: table service, object store and host list."""
+    """Run a stand-in for the platform: table service, object store and host list."""
     asyncio.run(_serve_app(PlatformStandIn().make_app(), port))
 
 
@@ -94,7 +99,9 @@
 @click.option("--platform", "platform_url", default="http://127.0.0.1:8700")
 @click.option("--pool", required=True)
 @click.option(
-    "--prefix", default="", help="Begins the workers' names; the pool's name."
+    "--prefix",
+    default="",
+    help="Prefix of the workers' names; by default the pool's name.",
 )
 @click.option("--count", default=4, show_default=True)
 @click.option("--cores", default=16, show_default=True)
@@ -114,7 +121,7 @@
     slots: int,
     failure_domains: int,
 ) -> None:
-    """Run stand-in workers of one pool and enter them in the host list."""
+    """Run stand-in workers of one pool and add them to the host list."""
     shape = WorkerShape(cores, memory_gb, accelerators, slots)
     workers = make_workers(pool, count, shape, prefix, failure_domains)
     asyncio.run(_serve_workers(list(workers), port, platform_url))
@@ -174,7 +181,7 @@
             [[row.kind, row.state, row.ran_on, row.waited_s] for row in results],
         )
         if serve:
-            click.echo(f"serving on {system.url}", err=True)
+            click.echo(f"the entry listens on {system.url}", err=True)
             click.echo(f"operator's key: {system.admin_key}", err=True)
             await create_stop_event().wait()
     finally:
--- a/src/fuchsiadale/cli/operators.py
+++ b/src/fuchsiadale/cli/operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands."""
+"""Commands for operators."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     envvar="FUCHSIADALE_ENTRY",
     default="http://127.0.0.1:8800",
     show_default=True,
-    help="Where an entry listens.",
+    help="Base URL of an entry.",
 )
 ADMIN_KEY_OPTION = click.option(
     "--admin-key",
     "key",
     envvar="FUCHSIADALE_ADMIN_KEY",
     default="",
-    help="The operator's key.",
+    help="Key of the operator.",
 )
 FOLDER_ARGUMENT = click.argument(
     "folder", type=click.Path(exists=True, file_okay=False, path_type=Path)
@@ -41,13 +41,13 @@
 
 @click.group()
 def config() -> None:
-    """Check, apply and show the configuration."""
+    """Validate, apply and show the configuration."""
 
 
 @config.command("check")
 @FOLDER_ARGUMENT
 def check_config(folder: Path) -> None:
-    """Check the files of FOLDER, merged in the order of their names."""
+    """Validate the YAML files of FOLDER, merged in the order of their names."""
     checked = read_configuration(read_yaml_files(folder))
     if isinstance(checked, Err):
         lines = [str(problem) for problem in checked.err_value]
@@ -64,19 +64,21 @@
 @click.option(
     "--base-version",
     type=int,
-    help="The version that the change is based on; refused if another is in force.",
+    help="Refuse the change unless this configuration version is in force.",
 )
 @ENTRY_OPTION
 @ADMIN_KEY_OPTION
 def apply_config(folder: Path, base_version: int | None, url: str, key: str) -> None:
-    """Put the files of FOLDER in force."""
+    """Apply the YAML files of FOLDER as the configuration."""
     body: dict[str, Any] = {
         "files": {source.name: source.text for source in read_yaml_files(folder)}
     }
     if base_version is not None:
         body["base_version"] = base_version
     reply = EntryClient(url, key).call("PUT", "/admin/v1/config", body)
-    click.echo(f"version {get_body_or_exit(reply)['version']} is in force")
+    click.echo(
+        f"configuration version {get_body_or_exit(reply)['version']} is in force"
+    )
 
 
 @config.command("show")
@@ -90,7 +92,9 @@
         print_json(body)
         return
     configuration = body["configuration"]
-    click.echo(f"version {body['version']}, confirmed {body['age_s']} s ago")
+    click.echo(
+        f"configuration version {body['version']}, last confirmed {body['age_s']} s ago"
+    )
     rows = [
         [name, team["share"], _format_amounts(team["limit"])]
         for name, team in configuration["teams"].items()
@@ -106,7 +110,7 @@
 
 @click.group("key")
 def keys() -> None:
-    """Give and withdraw teams' keys."""
+    """Create and withdraw keys of teams."""
 
 
 @keys.command("create")
@@ -115,7 +119,7 @@
 @ADMIN_KEY_OPTION
 @OUTPUT_OPTION
 def create_key(team: str, url: str, key: str, output: str) -> None:
-    """Give TEAM a new key; it is shown only now."""
+    """Create a key for TEAM and print it; it cannot be shown again."""
     body = get_body_or_exit(
         EntryClient(url, key).call("POST", "/admin/v1/keys", {"team": team})
     )
@@ -123,7 +127,7 @@
         print_json(body)
         return
     click.echo(body["key"])
-    click.echo(f"key id {body['key_id']}; the key is not shown again", err=True)
+    click.echo(f"key id {body['key_id']}; the key cannot be shown again", err=True)
 
 
 @keys.command("withdraw")
@@ -131,14 +135,16 @@
 @ENTRY_OPTION
 @ADMIN_KEY_OPTION
 def withdraw_key(key_id: str, url: str, key: str) -> None:
-    """Take the key with id KEY_ID out of force."""
+    """Withdraw the key with id KEY_ID, so that it is no longer valid."""
     reply = EntryClient(url, key).call("DELETE", f"/admin/v1/keys/{key_id}")
-    click.echo(f"withdrawn by version {get_body_or_exit(reply)['version']}")
+    click.echo(
+        f"key withdrawn in configuration version {get_body_or_exit(reply)['version']}"
+    )
 
 
 @click.group()
 def team() -> None:
-    """Look at teams."""
+    """Show teams."""
 
 
 @team.command("show")
@@ -147,7 +153,7 @@
 @ADMIN_KEY_OPTION
 @OUTPUT_OPTION
 def show_team(name: str, url: str, key: str, output: str) -> None:
-    """Show the share, limit, grants and usage of the team NAME."""
+    """Show the share, limit, granted resources and usage of the team NAME."""
     body = get_body_or_exit(
         EntryClient(url, key).call("GET", f"/admin/v1/teams/{name}")
     )
@@ -163,7 +169,7 @@
 
 @click.group()
 def partition() -> None:
-    """Look at partitions."""
+    """List partitions."""
 
 
 @partition.command("list")
@@ -171,7 +177,7 @@
 @ADMIN_KEY_OPTION
 @OUTPUT_OPTION
 def list_partitions(url: str, key: str, output: str) -> None:
-    """List the partitions and their owners."""
+    """List the partitions with their owners and load."""
     body = get_body_or_exit(EntryClient(url, key).call("GET", "/admin/v1/partitions"))
     if output == "json":
         print_json(body)
@@ -183,7 +189,7 @@
 
 @click.group()
 def worker() -> None:
-    """Look at workers."""
+    """List workers."""
 
 
 @worker.command("list")
@@ -191,7 +197,7 @@
 @ADMIN_KEY_OPTION
 @OUTPUT_OPTION
 def list_workers(url: str, key: str, output: str) -> None:
-    """List the workers with their state and free room."""
+    """List the workers with their state and free resources."""
     body = get_body_or_exit(EntryClient(url, key).call("GET", "/admin/v1/workers"))
     if output == "json":
         print_json(body)
--- a/src/fuchsiadale/cli/output.py
+++ b/src/fuchsiadale/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: results on stdout, messages on stderr."""
+"""Output of commands: results on stdout, messages on stderr."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     type=click.Choice(["text", "json"]),
     default="text",
     show_default=True,
-    help="How results are printed.",
+    help="Format of the printed result.",
 )
 
 
@@ -27,7 +27,7 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print a result as a table with aligned columns."""
+    """Print rows as a table with aligned columns."""
     texts = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in texts)])
@@ -39,13 +39,13 @@
 
 
 def exit_with_error(message: str, code: ExitCode) -> NoReturn:
-    """Print a message and end with an exit code."""
+    """Print a message on stderr and exit with a code."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
 def get_body_or_exit(reply: Reply) -> Any:
-    """Return the body of a granted call, or end with what went wrong."""
+    """Return the body of a successful reply, or print the error and exit."""
     if reply.is_ok:
         return reply.body
     if reply.status == 0:
--- a/src/fuchsiadale/cli/serving.py
+++ b/src/fuchsiadale/cli/serving.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop."""
+"""Runs an entry until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 async def serve_until_stopped(daemon: EntryDaemon) -> None:
-    """Let a started entry run until SIGTERM or SIGINT, then drain it.
+    """Run a started entry until SIGTERM or SIGINT, then drain and stop it.
 
-    A second signal, or the settings' drain limit, ends it at once.
+    The drain is cut short by a second signal, or when it exceeds the ``drain_limit_s``
+    of the settings.
     """
     stop_requested = create_stop_event()
     await stop_requested.wait()
@@ -29,7 +30,7 @@
 
 
 def create_stop_event() -> asyncio.Event:
-    """Return an event that SIGTERM and SIGINT set."""
+    """Return an event that SIGTERM or SIGINT sets."""
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/src/fuchsiadale/codec.py
+++ b/src/fuchsiadale/codec.py
@@ -1,4 +1,4 @@
-"""The one codec for what travels or is kept: MessagePack of typed values."""
+"""MessagePack codec of the typed values that are sent or stored."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
 
 
 def encode(value: object, as_type: object = None) -> bytes:
-    """Return the bytes of a typed value.
+    """Return a typed value as MessagePack bytes.
 
     Parameters
     ----------
     value : object
-        An instance of an attrs class or a container of such.
+        Instance of an attrs class, or a container of such instances.
     as_type : type, optional
-        The declared type, where it differs from the type of `value`.
+        Type to encode the value as; by default the type of `value`.
     """
     return _converter.dumps(value, unstructure_as=as_type)
 
 
 def decode(body: bytes, as_type: type[T]) -> Result[T, str]:
-    """Return the typed value of some bytes, or what is wrong with them."""
+    """Return the value of type `as_type` in MessagePack bytes, or an error message."""
     try:
         return Ok(_converter.loads(body, as_type))
     except (BaseValidationError, UnpackException, ValueError, TypeError) as error:
-        return Err(f"not a valid {getattr(as_type, '__name__', as_type)}: {error}")
+        return Err(
+            f"the body is not a valid {getattr(as_type, '__name__', as_type)}: {error}"
+        )
--- a/src/fuchsiadale/config/__init__.py
+++ b/src/fuchsiadale/config/__init__.py
@@ -1,1 +1,1 @@
-"""Process settings and the operators' configuration."""
+"""Settings of an entry process, and the configuration that operators apply."""
--- a/src/fuchsiadale/config/documents.py
+++ b/src/fuchsiadale/config/documents.py
@@ -1,4 +1,4 @@
-"""YAML documents whose every value knows its file and line."""
+"""Document nodes that hold their file and line, and their parsing from YAML."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @frozen(order=True)
 class Location:
-    """Where a value stands.
+    """Location of a value in a file.
 
     Attributes
     ----------
     file : str
         Name of the file.
     line : int
-        Number of the line, from 1.
+        Line number, starting at 1.
     """
 
     file: str
@@ -27,7 +27,17 @@
 
 @frozen(order=True)
 class Problem:
-    """Something wrong with a document."""
+    """Problem found in a document.
+
+    Attributes
+    ----------
+    location : Location
+        Location of the invalid value.
+    field : str
+        Dotted path of the invalid field; empty for the whole document.
+    message : str
+        Description that follows the field's path, such as ``must be a number``.
+    """
 
     location: Location
     field: str
@@ -41,7 +51,7 @@
 
 @frozen
 class SourceFile:
-    """One file of a folder."""
+    """Name and content of one file."""
 
     name: str
     text: str
@@ -49,20 +59,20 @@
 
 @define
 class DocumentNode:
-    """A value of a document: a scalar, a list or a mapping.
+    """Value in a document: a scalar, a list or a mapping.
 
     Attributes
     ----------
     location : Location
-        Where it stands.
+        Location of the value.
     path : str
-        The field's name, dotted from the top of the document.
+        Dotted path of the value from the root of the document; empty for the root.
     scalar : object
-        The value, for a scalar.
+        The value, if it is a scalar.
     items : list of DocumentNode or None
-        The items, for a list.
+        The items, if the value is a list.
     fields : dict of str to DocumentNode or None
-        The fields, for a mapping.
+        The fields by name, if the value is a mapping.
     """
 
     location: Location
@@ -73,7 +83,7 @@
 
 
 def parse_yaml(source: SourceFile) -> Result[DocumentNode, list[Problem]]:
-    """Return the document of a YAML file."""
+    """Return the root node of a YAML file, which must be a mapping or empty."""
     try:
         node = yaml.compose(source.text, Loader=yaml.SafeLoader)
     except yaml.MarkedYAMLError as error:
@@ -92,7 +102,7 @@
 
 
 def merge_documents(documents: Iterable[DocumentNode]) -> DocumentNode:
-    """Return one document; a later one's scalars and lists replace earlier ones."""
+    """Merge mappings; later scalars and lists replace those at the same path."""
     merged = DocumentNode(Location("", 1), "", fields={})
     for document in documents:
         _merge_into(merged, document)
@@ -139,7 +149,7 @@
     try:
         scalar = yaml.SafeLoader("").construct_object(node)
     except (yaml.YAMLError, ValueError) as error:
-        problems.append(Problem(location, path, f"not a value: {error}"))
+        problems.append(Problem(location, path, f"is not a valid YAML value: {error}"))
         scalar = None
     return DocumentNode(location, path, scalar=scalar)
 
--- a/src/fuchsiadale/config/folder.py
+++ b/src/fuchsiadale/config/folder.py
@@ -1,4 +1,4 @@
-"""Reads the operators' folder into a checked configuration."""
+"""Reads the configuration from a folder of YAML files and validates it."""
 
 from __future__ import annotations
 
@@ -32,11 +32,14 @@
 from fuchsiadale.decision.work import WorkKind
 
 MAX_SLICES = 64
+"""Largest number of slices, which are the partitions of a pool."""
+
 MAX_SHARE = 1_000_000.0
+"""Largest share of a team."""
 
 
 def read_yaml_files(folder: Path) -> list[SourceFile]:
-    """Return the YAML files of a folder in the order of their names."""
+    """Return the contents of a folder's YAML files, sorted by file name."""
     paths = sorted(path for path in folder.iterdir() if path.suffix == ".yaml")
     return [SourceFile(path.name, path.read_text("utf-8")) for path in paths]
 
@@ -44,12 +47,17 @@
 def read_configuration(
     files: Iterable[SourceFile],
 ) -> Result[Configuration, list[Problem]]:
-    """Merge files in the order given and check the whole.
+    """Merge YAML files in the order given and validate the merged configuration.
+
+    Parameters
+    ----------
+    files : iterable of SourceFile
+        The files; values in a later file replace those of earlier files.
 
     Returns
     -------
     Result
-        The configuration, or everything that is wrong with it.
+        The configuration, or all problems found.
     """
     documents: list[DocumentNode] = []
     problems: list[Problem] = []
@@ -83,14 +91,17 @@
 
 
 def find_forbidden_changes(old: Configuration, new: Configuration) -> list[str]:
-    """Return why a configuration may not follow another one."""
+    """Return a message for each change that operators may not make.
+
+    The number of slices of a pool cannot change.
+    """
     messages: list[str] = []
     for name, pool in old.pools.items():
         new_pool = new.pools.get(name)
         if new_pool is not None and new_pool.slices != pool.slices:
             messages.append(
-                f"pools.{name}.slices: is {pool.slices} for the life of the pool;"
-                " make a new pool instead"
+                f"pools.{name}.slices: must stay {pool.slices}, since the number of"
+                " slices of a pool cannot change; create a new pool instead"
             )
     return messages
 
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -1,4 +1,7 @@
-"""JSON bodies as located documents, so that their problems name fields."""
+"""Parses JSON request bodies into document nodes.
+
+The nodes hold the path of each field, so that problems name the field.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,11 @@
 from fuchsiadale.config.documents import DocumentNode, Location, Problem
 
 BODY_FILE_NAME = "body"
+"""Stands for the file name in the locations of values in a request body."""
 
 
 def parse_json_object(body: bytes) -> Result[DocumentNode, list[Problem]]:
-    """Return the document of a JSON body, which must be an object."""
+    """Return the root node of a JSON body, which must be an object."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
--- a/src/fuchsiadale/config/model.py
+++ b/src/fuchsiadale/config/model.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: teams, keys, shares, limits, queues and pools."""
+"""Configuration that operators apply: teams, keys, limits, queues and pools."""
 
 from __future__ import annotations
 
@@ -13,18 +13,20 @@
 from fuchsiadale.decision.work import WorkKind
 
 KEY_SECRET_BYTES = 24
+"""Number of random bytes in the secret part of a key."""
 
 
 @frozen
 class TeamConfig:
-    """One team.
+    """Configuration of one team.
 
     Attributes
     ----------
     share : float
-        Its weight when the fleet is full.
+        Weight of the team in the fair sharing of a full fleet.
     limit : Resources
-        What it may run over the whole fleet; ``slots`` counts tasks.
+        Resources that the team may use over the whole fleet; ``slots`` is the number
+        of tasks that may run at a time.
     """
 
     share: float = 1.0
@@ -33,16 +35,17 @@
 
 @frozen
 class PoolConfig:
-    """One pool of workers.
+    """Configuration of one pool of workers.
 
     Attributes
     ----------
     slices : int
-        Number of partitions that its workers are cut into; fixed for its life.
+        Number of partitions that the workers of the pool are divided into; it cannot
+        change during the lifetime of the pool.
     order : OrderWeights
-        How its teams are ordered.
+        Weights that determine the order in which the pool's teams are served.
     fencing : bool
-        Whether its backend servers compare epochs.
+        Whether the pool's backend servers refuse calls with a stale epoch.
     """
 
     slices: int = 1
@@ -52,20 +55,20 @@
 
 @frozen
 class QueueConfig:
-    """One queue, by which work enters a pool.
+    """Configuration of one queue, through which work is submitted to a pool.
 
     Attributes
     ----------
     pool : str
-        The pool that its work runs in.
+        Name of the pool that runs the queue's work.
     open : bool
-        Whether work is taken without a key.
+        Whether the queue accepts work without a key.
     teams : tuple of str
-        The teams that may use it; all of them if empty.
+        Names of the teams that may use the queue; empty if every team may.
     kinds : tuple of WorkKind
-        The kinds of work that it takes.
+        Kinds of work that the queue accepts.
     urgent : bool
-        Whether its work may be marked urgent.
+        Whether the queue accepts work with urgent priority.
     """
 
     pool: str
@@ -77,7 +80,17 @@
 
 @frozen
 class Configuration:
-    """What the operators' folder says."""
+    """Configuration read from the operators' folder.
+
+    Attributes
+    ----------
+    teams : dict of str to TeamConfig
+        Teams by name.
+    pools : dict of str to PoolConfig
+        Pools by name.
+    queues : dict of str to QueueConfig
+        Queues by name.
+    """
 
     teams: dict[str, TeamConfig] = field(factory=dict)
     pools: dict[str, PoolConfig] = field(factory=dict)
@@ -86,7 +99,15 @@
 
 @frozen
 class KeyRecord:
-    """One key of a team; only the digest of its secret is kept."""
+    """Stored form of a team's key, which holds only the digest of the secret.
+
+    Attributes
+    ----------
+    team : str
+        Name of the team.
+    sha256 : str
+        SHA-256 digest of the key's secret, in hexadecimal digits.
+    """
 
     team: str
     sha256: str
@@ -94,16 +115,16 @@
 
 @frozen
 class ConfigDocument:
-    """One version of all that operators decide.
+    """One version of the configuration together with the teams' keys.
 
     Attributes
     ----------
     version : int
-        Grows by one with every change.
+        Version of the document; increases by one with every change.
     configuration : Configuration
-        What the folder says.
+        Configuration read from the operators' folder.
     keys : dict of str to KeyRecord
-        The keys in force, by id.
+        Valid keys by id.
     """
 
     version: int
@@ -111,7 +132,7 @@
     keys: dict[str, KeyRecord] = field(factory=dict)
 
     def find_team_by_key(self, key: str) -> str | None:
-        """Return the team that a key belongs to, or None if it is not in force."""
+        """Return the team that a key belongs to, or None if the key is not valid."""
         parts = key.split("_")
         if len(parts) != 3 or parts[0] != "fd":
             return None
@@ -124,7 +145,17 @@
 
 @frozen
 class NewKey:
-    """A key as it is shown once."""
+    """New key with its secret, which is shown only once.
+
+    Attributes
+    ----------
+    key_id : str
+        Id of the key.
+    text : str
+        The whole key, ``fd_<key id>_<secret>``.
+    record : KeyRecord
+        Stored form of the key.
+    """
 
     key_id: str
     text: str
@@ -132,7 +163,7 @@
 
 
 def generate_key(team: str) -> NewKey:
-    """Return a new random key of a team."""
+    """Return a new random key for a team."""
     key_id = secrets.token_hex(6)
     secret = secrets.token_hex(KEY_SECRET_BYTES)
     record = KeyRecord(team, hash_secret(secret))
@@ -140,5 +171,5 @@
 
 
 def hash_secret(secret: str) -> str:
-    """Return the digest by which a secret is kept."""
+    """Return the SHA-256 digest of a secret in hexadecimal digits."""
     return hashlib.sha256(secret.encode()).hexdigest()
--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -1,4 +1,4 @@
-"""Typed reading of located documents, with every problem collected."""
+"""Reads typed fields from document nodes and collects every problem found."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from fuchsiadale.config.documents import DocumentNode, Problem
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
+"""Pattern of names, such as those of hosts, teams and pools; at most 63 characters."""
 
 
 class MappingReader:
     """Reads the fields of one mapping.
 
-    A field that is missing or of the wrong type is noted as a problem, and its
-    default is returned, so that one reading finds every problem.
+    An invalid or missing field adds a problem and reads as its default, so that all
+    problems of a document are found at once.
 
     Parameters
     ----------
     node : DocumentNode
         The mapping.
     problems : list of Problem
-        Takes what is wrong.
+        List that problems are appended to.
     """
 
     def __init__(self, node: DocumentNode, problems: list[Problem]) -> None:
@@ -33,11 +34,11 @@
 
     @property
     def node(self) -> DocumentNode:
-        """The mapping that is read."""
+        """Node of the mapping."""
         return self._node
 
     def add_problem(self, message: str, name: str = "") -> None:
-        """Note a problem of the mapping or of one of its fields."""
+        """Add a problem of the field `name`, or of the whole mapping if it is empty."""
         node = self._fields().get(name, self._node)
         path = node.path
         if name and name not in self._fields():
@@ -45,7 +46,7 @@
         self._problems.append(Problem(node.location, path, message))
 
     def read_text(self, name: str, default: str | None = None) -> str:
-        """Return a text field; it is required if there is no default."""
+        """Return a text field, which is required if `default` is None."""
         node = self._get_field(name, required=default is None)
         if node is None:
             return default or ""
@@ -55,14 +56,14 @@
         return node.scalar
 
     def read_name(self, name: str, default: str | None = None) -> str:
-        """Return a field that holds a name."""
+        """Return a text field whose value must match ``NAME_PATTERN``."""
         value = self.read_text(name, default)
         if value and not NAME_PATTERN.fullmatch(value):
             self.add_problem("must be lower-case letters, digits and hyphens", name)
         return value
 
     def read_integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
-        """Return a whole number within bounds."""
+        """Return an integer field from `minimum` to `maximum`."""
         node = self._get_field(name)
         if node is None:
             return default
@@ -78,7 +79,7 @@
     def read_number(
         self, name: str, default: float, minimum: float, maximum: float
     ) -> float:
-        """Return a number within bounds."""
+        """Return a number field from `minimum` to `maximum` as a float."""
         node = self._get_field(name)
         if node is None:
             return default
@@ -92,7 +93,7 @@
         return float(value)
 
     def read_boolean(self, name: str, default: bool) -> bool:
-        """Return a yes or no."""
+        """Return a Boolean field."""
         node = self._get_field(name)
         if node is None:
             return default
@@ -102,7 +103,7 @@
         return node.scalar
 
     def read_text_list(self, name: str) -> list[str]:
-        """Return a list of texts; empty if it is missing."""
+        """Return a field that is a list of texts, or an empty list if it is missing."""
         node = self._get_field(name)
         if node is None:
             return []
@@ -118,14 +119,14 @@
         return texts
 
     def read_mapping(self, name: str) -> MappingReader | None:
-        """Return the reader of an inner mapping, or None if it is missing."""
+        """Return a reader of a field that is a mapping, or None if it is missing."""
         node = self._get_field(name)
         if node is None:
             return None
         return MappingReader(node, self._problems)
 
     def read_named_mappings(self, name: str) -> Iterator[tuple[str, MappingReader]]:
-        """Yield the inner mappings of a field, by name."""
+        """Yield the name and a reader of each mapping in a field."""
         node = self._get_field(name)
         if node is None:
             return
@@ -139,7 +140,7 @@
             yield inner_name, reader
 
     def report_unknown_fields(self) -> None:
-        """Complain of every field that was not read."""
+        """Add a problem for each field of the mapping that no method has read."""
         for name in self._fields():
             if name not in self._known_names:
                 known = ", ".join(sorted(self._known_names))
--- a/src/fuchsiadale/config/settings.py
+++ b/src/fuchsiadale/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry process."""
+"""Settings of an entry process and their reading from a YAML file."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from fuchsiadale.config.reader import MappingReader
 
 DRAIN_LIMIT_DEFAULT_S = 60.0
+"""Default of `Settings.drain_limit_s`, in seconds."""
+
 DRAIN_NOTICE_DEFAULT_S = 2.0
+"""Default of `Settings.drain_notice_s`, in seconds."""
 
 
 @frozen
 class Address:
-    """An IP number and a port."""
+    """IP address and port."""
 
     ip: str
     port: int
@@ -28,30 +31,31 @@
 
 @frozen
 class Settings:
-    """What an entry process learns from its settings file.
+    """Settings of one entry process.
 
     Attributes
     ----------
     host : str
         Name of the entry host.
     region : str
-        Its region.
+        Region of the host.
     failure_domain : str
-        Its failure domain.
+        Failure domain of the host.
     callers : Address
-        Where it listens for callers, operators and health checks.
+        Address on which the process listens for callers, operators and health checks.
     peers : Address
-        Where it listens for its peers, and where they reach it.
+        Address on which the process listens for its peers, which they also connect to.
     platform_url : str
-        Where the platform listens.
+        Base URL of the platform's services.
     statsd : Address or None
-        Where counters are sent; nowhere if None.
+        Address of the statsd server that receives the counters; None to send none.
     admin_key_sha256 : tuple of str
-        Digests of the operators' keys.
+        SHA-256 digests of the operators' keys, in hexadecimal digits.
     drain_notice_s : float
-        Seconds between not being ready and refusing connections.
+        Seconds for which a draining process fails its readiness check before it refuses
+        new work.
     drain_limit_s : float
-        Seconds after which a planned stop ends in any case.
+        Seconds after which a draining process stops even if it has not finished.
     """
 
     host: str
@@ -67,7 +71,7 @@
 
 
 def read_settings_file(path: Path) -> Result[Settings, list[Problem]]:
-    """Return the settings in a file, or everything that is wrong with them."""
+    """Return the settings in a file, or all problems found."""
     try:
         text = path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -76,7 +80,7 @@
 
 
 def read_settings(source: SourceFile) -> Result[Settings, list[Problem]]:
-    """Return the settings in a document, or everything that is wrong with them."""
+    """Return the settings in a YAML document, or all problems found."""
     parsed = parse_yaml(source)
     if isinstance(parsed, Err):
         return parsed
--- a/src/fuchsiadale/ids.py
+++ b/src/fuchsiadale/ids.py
@@ -7,16 +7,16 @@
 
 
 class IdSource(ABC):
-    """Makes identifiers that are never made twice."""
+    """Generates identifiers, each of them only once."""
 
     @abstractmethod
     def new(self) -> str:
-        """Return an identifier of hexadecimal digits."""
+        """Return a new identifier of hexadecimal digits."""
 
 
 class RandomIdSource(IdSource):
-    """Makes random identifiers."""
+    """Generates random identifiers."""
 
     def new(self) -> str:
-        """Return an identifier of hexadecimal digits."""
+        """Return a new identifier of hexadecimal digits."""
         return uuid.uuid4().hex
--- a/src/fuchsiadale/logs.py
+++ b/src/fuchsiadale/logs.py
@@ -1,4 +1,4 @@
-"""Logging: one JSON line a change of state, on stderr."""
+"""Logging to stderr, as one JSON line for each change of state."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 def log_to_stderr() -> None:
     """Write log messages to stderr."""
-    # A state machine warns of each event that changes nothing, which is no news here.
+    # The state machine library logs a warning for each trigger that changes no state.
+    # Such triggers are expected here.
     logging.getLogger("transitions").setLevel(logging.ERROR)
     eliot.to_file(sys.stderr)
--- a/src/fuchsiadale/loop_clock.py
+++ b/src/fuchsiadale/loop_clock.py
@@ -1,4 +1,4 @@
-"""The running event loop's clock."""
+"""Clock of the running event loop."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class LoopClock(Clock):
-    """Reads the clock of the event loop that runs."""
+    """Returns the time of the running event loop."""
 
     def now(self) -> float:
         """Return the current time in seconds."""
--- a/src/fuchsiadale/metrics.py
+++ b/src/fuchsiadale/metrics.py
@@ -1,4 +1,4 @@
-"""Counters for each refusal, retry and change of state."""
+"""Counters of events such as refusals, retries and changes of state."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from fuchsiadale.config.settings import Address
 
 STATSD_PREFIX = "fuchsiadale"
+"""Prefix of the counters' names on the statsd server."""
 
 
 class Counters(ABC):
@@ -18,22 +19,28 @@
 
     @abstractmethod
     def add(self, name: str, count: int = 1) -> None:
-        """Count an event."""
+        """Add `count` to a counter."""
 
     def add_all(self, counts: Mapping[str, int]) -> None:
-        """Count several events."""
+        """Add to several counters."""
         for name, count in counts.items():
             self.add(name, count)
 
 
 class MemoryCounters(Counters):
-    """Keeps the counts in memory."""
+    """Keeps the counts in memory.
+
+    Attributes
+    ----------
+    counts : Counter of str
+        Counts by name.
+    """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count an event."""
+        """Add `count` to a counter."""
         self.counts[name] += count
 
 
@@ -43,7 +50,7 @@
     Parameters
     ----------
     address : Address
-        Where the server listens.
+        Address of the statsd server.
     """
 
     def __init__(self, address: Address) -> None:
@@ -53,6 +60,6 @@
         )
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count an event."""
+        """Add `count` to a counter."""
         super().add(name, count)
         self._client.incr(name, count)
--- a/src/fuchsiadale/peers/__init__.py
+++ b/src/fuchsiadale/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between entry hosts."""
+"""gRPC protocol between entry processes: messages, client and server."""
--- a/src/fuchsiadale/peers/client.py
+++ b/src/fuchsiadale/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls one peer."""
+"""gRPC client of one peer."""
 
 from __future__ import annotations
 
@@ -35,11 +35,22 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 4.0
+"""Seconds allowed for a call, besides the time for which the peer holds its reply."""
+
 GOSSIP_TIMEOUT_S = 1.0
+"""Seconds allowed for a gossip call, and for a collect call besides its hold time."""
+
 COLLECT_HOLD_S = 1.0
+"""Seconds for which the peer holds its reply to a collect call until it has results."""
+
 COLLECT_RETRY_S = 0.2
+"""Delay before a collect call is retried after a failure, in seconds."""
+
 BATCH_DELAY_S = 0.001
+"""Time for which submissions are gathered into one call, in seconds."""
+
 MAX_MESSAGE_BYTES = 64 << 20
+"""Largest message that is sent or received, in bytes."""
 
 _CHANNEL_OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
@@ -56,29 +67,43 @@
 
 @frozen
 class _PendingSubmission:
+    """Submission without a reply so far, and the future that receives its outcome."""
+
     submission: Submission
     outcome: asyncio.Future[Result[str, Refusal]]
 
 
 @define
 class _Batch:
+    """Submissions gathered for the next call.
+
+    Attributes
+    ----------
+    reply_to : str
+        Id of the member whose callers wait for the results of requests.
+    pending : list of _PendingSubmission
+        The submissions.
+    is_scheduled : bool
+        Whether the call that sends them is scheduled.
+    """
+
     reply_to: str = ""
     pending: list[_PendingSubmission] = field(factory=list)
     is_scheduled: bool = False
 
 
 class PeerClient(Peer):
-    """Calls one peer over gRPC.
+    """Client of one peer over gRPC.
 
-    A call without an answer in time takes the channel with it, so that a connection
-    that went silent is not used again.
+    When a call gets no reply in time, the client replaces the channel, so that an
+    unresponsive connection is not used again.
 
     Parameters
     ----------
     member : str
-        The peer.
+        Member id of the peer.
     address : str
-        Where it listens.
+        ``<ip>:<port>`` on which the peer listens.
     """
 
     def __init__(self, member: str, address: str) -> None:
@@ -86,13 +111,14 @@
         self._address = address
         self._channel = grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         self._stub = PeerStub(self._channel)
-        # Jobs wait for their record, so they do not share batches with requests.
+        # A job is accepted only once it is recorded, and a batch is answered as a
+        # whole, so requests in a batch with jobs would wait for the jobs' records.
         self._request_batch = _Batch()
         self._job_batch = _Batch()
 
     @property
     def member(self) -> str:
-        """The member that it is."""
+        """Member id of the peer."""
         return self._member
 
     async def close(self) -> None:
@@ -102,7 +128,7 @@
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work for a member; return the id of the work accepted."""
+        """Submit work whose result goes to a member; return the id of the work."""
         loop = asyncio.get_running_loop()
         is_request = submission.kind is WorkKind.REQUEST
         batch = self._request_batch if is_request else self._job_batch
@@ -117,7 +143,7 @@
     async def cancel(
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
-        """End work, unless the caller of another member waits for it."""
+        """Cancel work, unless a caller of another member waits for its result."""
         request = CancelRequest(
             work_id=work_id, reason=encode_refusal(reason), member=member
         )
@@ -130,7 +156,7 @@
         return self._decode_body(reply.view, WorkView)
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
-        """Return a view of work, once it is final or `hold_s` seconds have passed."""
+        """Return a view of work once it is final or `hold_s` seconds have passed."""
         views = await self._fetch_views(ShowRequest(work_id=work_id), hold_s)
         return views.map(lambda found: found[0])
 
@@ -152,7 +178,7 @@
         return self._decode_body(reply.view, PartitionView)
 
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
-        """Exchange versions and usage."""
+        """Exchange configuration versions and team usage."""
         try:
             reply = await self._stub.Gossip(request, timeout=GOSSIP_TIMEOUT_S)
         except grpc.aio.AioRpcError as error:
@@ -162,14 +188,15 @@
     async def collect(
         self, get_own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
-        """Fetch results for this process, for ever.
+        """Fetch results for this process from the peer until cancelled.
 
         Parameters
         ----------
         get_own_member : callable
-            Returns the member that this process is at present.
+            Returns the current member id of this process, which changes when the
+            process joins again.
         deliver : callable
-            Takes each result; one may come twice.
+            Called with each result; a result may be delivered twice.
         """
         member = get_own_member()
         received_through = 0
@@ -234,7 +261,8 @@
                 each,
                 Err(
                     make_unknown_outcome_refusal(
-                        self._member, "the answer is not whole"
+                        self._member,
+                        "the reply has fewer results than the call had submissions",
                     )
                 ),
             )
@@ -263,22 +291,22 @@
         )
 
     async def _handle_call_error(self, error: grpc.aio.AioRpcError) -> Refusal:
-        """Return the refusal for a failed call; a silent channel is replaced."""
+        """Return the refusal for a failed call; replace the channel after a timeout."""
         if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
-            silent_channel = self._channel
+            old_channel = self._channel
             self._channel = grpc.aio.insecure_channel(
                 self._address, options=_CHANNEL_OPTIONS
             )
             self._stub = PeerStub(self._channel)
-            await silent_channel.close()
+            await old_channel.close()
         return make_unknown_outcome_refusal(self._member, error.code().name.lower())
 
 
 class GrpcPeerConnector(PeerConnector):
-    """Connects to peers over gRPC."""
+    """Creates gRPC clients of peers."""
 
     def connect(self, member: str, address: str) -> Peer:
-        """Return the peer that listens at an address."""
+        """Return a client of the peer that listens on an address."""
         return PeerClient(member, address)
 
 
--- a/src/fuchsiadale/peers/failures.py
+++ b/src/fuchsiadale/peers/failures.py
@@ -1,4 +1,4 @@
-"""Refusals on their way between peers."""
+"""Conversion of refusals to and from the messages that peers exchange."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def encode_refusal(refusal: Refusal) -> Failure:
-    """Return the message of a refusal."""
+    """Return the message that carries a refusal."""
     return Failure(kind=refusal.kind.value, message=refusal.message)
 
 
 def decode_refusal(failure: Failure) -> Refusal:
-    """Return the refusal in a message; a kind not known here is internal."""
+    """Return the refusal in a message; an unknown kind becomes ``INTERNAL``."""
     try:
         kind = ErrorKind(failure.kind)
     except ValueError:
@@ -21,6 +21,6 @@
 
 
 def make_unknown_outcome_refusal(peer: str, reason: str) -> Refusal:
-    """Return the refusal for a call that may have arrived."""
-    message = f"no answer from {peer}: {reason}"
+    """Return the refusal for a call that the peer may or may not have processed."""
+    message = f"no valid reply from {peer}: {reason}"
     return Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
--- a/src/fuchsiadale/peers/gateway.py
+++ b/src/fuchsiadale/peers/gateway.py
@@ -1,4 +1,4 @@
-"""How the owner of a partition is reached."""
+"""Interfaces through which the owner of a partition and other peers are called."""
 
 from __future__ import annotations
 
@@ -14,27 +14,52 @@
 
 
 class Gateway(ABC):
-    """Reaches the member that owns some partitions.
+    """Interface for calls to a member about the partitions that it owns.
 
-    Refusals of the kinds ``NOT_OWNER`` and ``NO_OWNER`` mean that nothing was taken
-    in; ``OUTCOME_UNKNOWN`` that the call may have arrived.
+    Refusals of the kinds ``NOT_OWNER`` and ``NO_OWNER`` mean that the call had no
+    effect, ``OUTCOME_UNKNOWN`` that the member may have processed it.
     """
 
     @abstractmethod
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work for a member; return the id of the work accepted."""
+        """Submit work; return the id of the work accepted.
+
+        Parameters
+        ----------
+        submission : Submission
+            The work.
+        reply_to : str
+            Id of the member whose caller waits for the result, if it is a request.
+
+        Returns
+        -------
+        Result
+            The id of the work accepted, which is that of earlier work if the
+            idempotency key was used before, or the refusal.
+        """
 
     @abstractmethod
     async def cancel(
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
-        """End work, unless the caller of another member waits for it."""
+        """Cancel work, unless a caller of another member waits for its result.
+
+        Parameters
+        ----------
+        work_id : str
+            Id of the work.
+        reason : Refusal
+            Refusal reported for tasks that did not run.
+        member : str
+            Id of the member whose caller no longer waits; empty if the caller
+            cancelled a job.
+        """
 
     @abstractmethod
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
-        """Return a view of work, once it is final or `hold_s` seconds have passed."""
+        """Return a view of work once it is final or `hold_s` seconds have passed."""
 
     @abstractmethod
     async def list_team_jobs(
@@ -48,29 +73,30 @@
 
 
 class Peer(Gateway):
-    """Another entry process."""
+    """Client of another entry process."""
 
     @property
     @abstractmethod
     def member(self) -> str:
-        """The member that it is."""
+        """Member id of the peer."""
 
     @abstractmethod
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
-        """Exchange versions and usage."""
+        """Exchange configuration versions and team usage."""
 
     @abstractmethod
     async def collect(
         self, get_own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
-        """Fetch results for this process, for ever.
+        """Fetch results for this process from the peer until cancelled.
 
         Parameters
         ----------
         get_own_member : callable
-            Returns the member that this process is at present.
+            Returns the current member id of this process, which changes when the
+            process joins again.
         deliver : callable
-            Takes each result; one may come twice.
+            Called with each result; a result may be delivered twice.
         """
 
     @abstractmethod
@@ -79,8 +105,8 @@
 
 
 class PeerConnector(ABC):
-    """Connects to peers."""
+    """Creates clients of peers."""
 
     @abstractmethod
     def connect(self, member: str, address: str) -> Peer:
-        """Return the peer that listens at an address."""
+        """Return a client of the peer that listens on an address."""
--- a/src/fuchsiadale/peers/results.py
+++ b/src/fuchsiadale/peers/results.py
@@ -1,4 +1,4 @@
-"""Results on their way to the entries whose callers wait for them."""
+"""Queues of results for the members whose callers wait for them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 @frozen
 class CollectedResults:
-    """Results for one member.
+    """Results that one call of a member collects.
 
     Attributes
     ----------
     last_number : int
-        Number of the last one; sent back to have them forgotten.
+        Sequence number of the last result; the member sends it with its next call to
+        acknowledge this result and all earlier ones.
     views : list of WorkView
-        The results.
+        The results, oldest first.
     """
 
     last_number: int
@@ -31,6 +32,8 @@
 
 @frozen
 class _UndeliveredResult:
+    """Result that a member has not acknowledged, with its sequence number."""
+
     number: int
     view: WorkView
     on_delivered: DeliveryCallback
@@ -38,35 +41,47 @@
 
 @define
 class _Outbox:
+    """Unacknowledged results of one member.
+
+    Attributes
+    ----------
+    results : deque of _UndeliveredResult
+        The results, oldest first.
+    last_number : int
+        Sequence number of the last result added.
+    result_added : asyncio.Event
+        Set when a result is added.
+    """
+
     results: deque[_UndeliveredResult] = field(factory=deque)
     last_number: int = 0
     result_added: asyncio.Event = field(factory=asyncio.Event)
 
 
 class ResultOutboxes:
-    """Keeps each result until the member that asked for it says it has it."""
+    """Keeps each result until the member whose caller waits acknowledges it."""
 
     def __init__(self) -> None:
         self._outboxes: dict[str, _Outbox] = {}
 
     @property
     def pending_count(self) -> int:
-        """Number of results that have not been fetched."""
+        """Number of results that have not been acknowledged."""
         return sum(len(outbox.results) for outbox in self._outboxes.values())
 
     def add_result(
         self, member: str, view: WorkView, on_delivered: DeliveryCallback
     ) -> None:
-        """Keep a result for a member.
+        """Keep a result for a member until the member acknowledges it.
 
         Parameters
         ----------
         member : str
-            The member whose caller waits.
+            Id of the member whose caller waits.
         view : WorkView
             The result.
         on_delivered : callable
-            Called when the member has the result.
+            Called when the member acknowledges the result.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
         outbox.last_number += 1
@@ -78,16 +93,17 @@
     async def collect(
         self, member: str, received_through: int, hold_s: float
     ) -> CollectedResults:
-        """Return the results that a member does not have, once there are any.
+        """Return the unacknowledged results of a member, waiting for one if needed.
 
         Parameters
         ----------
         member : str
-            The member that asks.
+            Id of the calling member.
         received_through : int
-            Number of the last result that it has.
+            Sequence number of the last result that the member has received; this and
+            all earlier ones are acknowledged.
         hold_s : float
-            Seconds to wait while there are none.
+            Longest time to wait for a result, in seconds.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
         while outbox.results and outbox.results[0].number <= received_through:
@@ -103,5 +119,5 @@
         return CollectedResults(outbox.last_number, views)
 
     def drop_member(self, member: str) -> None:
-        """Drop the results of a member that is gone."""
+        """Drop the results of a member that has left."""
         self._outboxes.pop(member, None)
--- a/src/fuchsiadale/peers/service.py
+++ b/src/fuchsiadale/peers/service.py
@@ -1,4 +1,4 @@
-"""Serves the peers of this process."""
+"""gRPC service that answers the peers of this process."""
 
 from __future__ import annotations
 
@@ -37,7 +37,10 @@
 from fuchsiadale.peers.results import ResultOutboxes
 
 MAX_MESSAGE_BYTES = 64 << 20
+"""Largest message that is sent or received, in bytes."""
+
 STOP_GRACE_S = 1.0
+"""Seconds allowed for running calls to end when the server stops."""
 
 _SERVER_OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -52,16 +55,16 @@
 
 
 class PeerService(PeerServicer):  # type: ignore[misc]
-    """Answers peers from the partitions that this process owns.
+    """Answers calls of peers about the partitions that this process owns.
 
     Parameters
     ----------
     gateway : Gateway
-        Reaches these partitions.
+        Gateway to the partitions of this process.
     outboxes : ResultOutboxes
-        Results for the peers.
+        Results that the peers collect.
     gossip : callable
-        Answers gossip.
+        Returns the reply to a gossip request.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
     async def Submit(  # noqa: N802
         self, request: SubmitRequest, context: Context
     ) -> SubmitReply:
-        """Take in a batch of work."""
+        """Submit a batch of work; return one result for each submission."""
         results = await asyncio.gather(
             *(self._submit(body, request.member) for body in request.submissions)
         )
@@ -83,7 +86,7 @@
     async def Collect(  # noqa: N802
         self, request: CollectRequest, context: Context
     ) -> CollectReply:
-        """Hand over results."""
+        """Return the results for the calling member."""
         collected = await self._outboxes.collect(
             request.member, request.received_through, request.hold_ms / 1000
         )
@@ -93,7 +96,7 @@
     async def Cancel(  # noqa: N802
         self, request: CancelRequest, context: Context
     ) -> CancelReply:
-        """End work."""
+        """Cancel work; return a view of it."""
         reason = decode_refusal(request.reason)
         view = await self._gateway.cancel(request.work_id, reason, request.member)
         if isinstance(view, Err):
@@ -103,7 +106,7 @@
     async def Show(  # noqa: N802
         self, request: ShowRequest, context: Context
     ) -> ShowReply:
-        """Show one piece of work, or a team's."""
+        """Return a view of one piece of work, or views of a team's jobs."""
         views: Result[list[WorkView], Refusal]
         if request.work_id:
             view = await self._gateway.show(request.work_id, request.hold_ms / 1000)
@@ -117,7 +120,7 @@
     async def Inspect(  # noqa: N802
         self, request: InspectRequest, context: Context
     ) -> InspectReply:
-        """Show a partition."""
+        """Return a view of a partition."""
         view = await self._gateway.inspect(request.partition)
         if isinstance(view, Err):
             return InspectReply(failure=encode_refusal(view.err_value))
@@ -126,7 +129,7 @@
     async def Gossip(  # noqa: N802
         self, request: GossipRequest, context: Context
     ) -> GossipReply:
-        """Exchange versions and usage."""
+        """Exchange configuration versions and team usage."""
         return self._answer_gossip(request)
 
     async def _submit(self, body: bytes, member: str) -> SubmitResult:
@@ -141,14 +144,19 @@
 
 
 class PeerServer:
-    """Listens for peers.
+    """gRPC server that listens for calls of peers.
 
     Parameters
     ----------
     service : PeerService
-        Answers them.
+        Service that answers the calls.
     address : str
         ``<ip>:<port>`` to listen on.
+
+    Attributes
+    ----------
+    port : int
+        Port on which the server listens.
     """
 
     def __init__(self, service: PeerService, address: str) -> None:
@@ -157,9 +165,9 @@
         self.port = self._server.add_insecure_port(address)
 
     async def start(self) -> None:
-        """Begin to answer."""
+        """Start answering calls."""
         await self._server.start()
 
     async def stop(self) -> None:
-        """Stop answering after calls in hand have ended."""
+        """Refuse new calls, and abort running ones after ``STOP_GRACE_S`` seconds."""
         await self._server.stop(STOP_GRACE_S)
--- a/src/fuchsiadale/supervisor.py
+++ b/src/fuchsiadale/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor tree for the loop's tasks."""
+"""Supervisor tree for tasks of the event loop."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from eliot import log_message
 
 RESTART_DELAY_S = 0.2
+"""Delay before a child's first restart, in seconds."""
+
 MAX_RESTART_DELAY_S = 5.0
+"""Longest delay before a restart, in seconds."""
 
 ChildMain = Callable[[], Awaitable[None]]
 
 
 class Supervisor:
-    """Runs children and starts them again when they fail.
+    """Runs children as tasks and restarts those that fail.
 
-    A child that returns is done; one that raises is restarted, with a delay that
-    doubles at each failure in a row.
+    A child that returns is not restarted. A child that raises an exception is restarted
+    after a delay that doubles with each failure.
 
     Parameters
     ----------
     name : str
-        Name in the logs.
+        Name of the supervisor in the log.
     """
 
     def __init__(self, name: str) -> None:
@@ -32,11 +35,11 @@
 
     @property
     def child_names(self) -> list[str]:
-        """Names of the children that run."""
+        """Names of the running children."""
         return list(self._children)
 
     def start(self, name: str, main: ChildMain) -> None:
-        """Run a child; one of the same name is ended first."""
+        """Start a child; cancel a running child of the same name first."""
         self.cancel_child(name)
         task = asyncio.get_running_loop().create_task(
             self._run_with_restarts(name, main), name=f"{self._name}/{name}"
@@ -45,19 +48,19 @@
         task.add_done_callback(lambda done: self._discard_child(name, done))
 
     def add_supervisor(self, name: str) -> Supervisor:
-        """Return a new supervisor below this one."""
+        """Add a supervisor below this one and return it."""
         child = Supervisor(f"{self._name}/{name}")
         self._supervisors[name] = child
         return child
 
     def cancel_child(self, name: str) -> None:
-        """End a child if it runs."""
+        """Cancel a child if it is running."""
         task = self._children.pop(name, None)
         if task is not None:
             task.cancel()
 
     async def stop(self) -> None:
-        """End everything below, the youngest first."""
+        """Stop all supervisors below this one, then all children, newest first."""
         for child in reversed(list(self._supervisors.values())):
             await child.stop()
         self._supervisors.clear()
@@ -70,7 +73,7 @@
         await asyncio.gather(*others, return_exceptions=True)
 
     async def remove_supervisor(self, name: str) -> None:
-        """End a supervisor below this one."""
+        """Remove a supervisor below this one and stop it."""
         child = self._supervisors.pop(name, None)
         if child is not None:
             await child.stop()
--- a/tests/test_config_files.py
+++ b/tests/test_config_files.py
@@ -1,4 +1,4 @@
-"""Configuration folders and settings files, from data files of cases."""
+"""Tests that read configuration folders and settings files from ``tests/data``."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def list_cases(folder: str) -> list[str]:
-    """Return the names of the cases in a folder."""
+    """Return the names of the test cases in a folder of ``tests/data``."""
     return sorted(path.stem for path in (DATA / folder).glob("*.input"))
 
 
 def assert_matches_expected(folder: str, name: str, output: str) -> None:
-    """Compare with the expected file, or write it when recording."""
+    """Check the output against the expected file; rewrite the file when recording."""
     expected = DATA / folder / f"{name}.expected"
     if os.environ.get("FUCHSIADALE_RECORD"):
         expected.write_text(output, "utf-8")
@@ -32,7 +32,7 @@
 
 
 def split_source_files(text: str) -> list[SourceFile]:
-    """Return the files of a case: each begins with a line ``--- <name>``."""
+    """Split the text of a case into files; each starts with ``--- <name>``."""
     files = []
     for part in text.split("--- ")[1:]:
         name, _, body = part.partition("\n")
