--- a/src/fuchsiadale/cli/client.py
+++ b/src/fuchsiadale/cli/client.py
@@ -81,4 +81,4 @@
             ):
                 return Reply(response.status, await response.json(content_type=None))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            return Reply(0, f"no valid reply from {self.url}: {error}")
+            return Reply(0, f"{self.url} did not return a valid reply: {error}")
