--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -11,13 +11,13 @@
 from fuchsiadale.standin.dev import DevSystem
 
 POLL_INTERVAL_S = 0.05
-"""Seconds between two checks whether the entry is ready or a job has advanced."""
+"""Interval between checks of the entry's readiness or a job's state, in seconds."""
 
 READY_TIMEOUT_S = 20.0
 """Longest wait for the entry to become ready, in seconds."""
 
 JOB_TIMEOUT_S = 20.0
-"""Longest wait for a job of the demonstration, in seconds."""
+"""Longest wait for a job to end or for its tasks to run, in seconds."""
 
 
 @frozen
@@ -29,12 +29,14 @@
     kind : str
         Kind of the work.
     state : str
-        Outcome or states of the tasks, or an error message.
+        Outcome of a request, or distinct states of a job's tasks; an error message if
+        the work was not accepted.
     ran_on : str
-        Names of the workers that the tasks ran on.
+        Names of the workers that the work ran on, separated by commas; ``-`` if there
+        is none.
     waited_s : float
         Longest time from a task's acceptance to its first start, in seconds; 0 for a
-        request.
+        request, or if no task has started.
     """
 
     kind: str
@@ -115,14 +117,22 @@
         return "the entry did not become ready in time"
 
     async def _run_job(self, body: dict[str, Any], awaited_state: str) -> DemoResult:
-        """Submit a job and wait until it is final or all its tasks are running.
+        """Submit a job and wait until it reaches a state.
+
+        The wait ends after ``JOB_TIMEOUT_S`` seconds in any case. A job that is awaited
+        as running is cancelled afterwards.
 
         Parameters
         ----------
         body : dict
             Body of the submission.
         awaited_state : str
-            "final", or the state that all tasks must reach.
+            "final", or the state that all tasks of the job must reach.
+
+        Returns
+        -------
+        DemoResult
+            Summary of the job as last seen, or of its refusal.
         """
         submit_reply = await self._caller_client.call_async(
             "POST", "/v1/queues/proofs/jobs", body
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -16,7 +16,7 @@
 @click.argument("job_id")
 @click.argument("logs", nargs=-1, type=click.File("r"))
 def explain(job_id: str, logs: tuple[TextIO, ...]) -> None:
-    """Print the history of job JOB_ID from the LOGS of a cell's processes.
+    """Print the history of job JOB_ID from LOGS, log files of scheduler processes.
 
     Reads standard input if no log is given.
     """
--- a/src/fuchsiadale/cli/jobs.py
+++ b/src/fuchsiadale/cli/jobs.py
@@ -63,7 +63,7 @@
     key: str,
     output: str,
 ) -> None:
-    """Submit a job that runs PROGRAM to QUEUE and print the job's id."""
+    """Submit to QUEUE a job that runs PROGRAM, and print the job's id."""
     body = {
         "kind": kind,
         "program": program,
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -41,8 +41,8 @@
     """
 
 
-for _group in (config, explain, keys, job, team, partition, worker):
-    main.add_command(_group)
+for _command in (config, explain, keys, job, team, partition, worker):
+    main.add_command(_command)
 
 
 @main.command()
@@ -75,7 +75,11 @@
 @click.option("--serve", is_flag=True, help="Keep running after the demonstration.")
 @click.option("--log", is_flag=True, help="Write the log to stderr.")
 def dev(port: int, folder: Path | None, serve: bool, log: bool) -> None:
-    """Run a whole system in this process, with one piece of work of each kind."""
+    """Run an entry with a stand-in platform and workers, and a demonstration.
+
+    The demonstration runs one piece of work of each kind. The command then exits,
+    unless --serve is given.
+    """
     if log:
         log_to_stderr()
     options = DevOptions(Address(LOOPBACK, port), folder)
--- a/src/fuchsiadale/codec.py
+++ b/src/fuchsiadale/codec.py
@@ -35,5 +35,5 @@
         return Ok(_converter.loads(body, as_type))
     except (BaseValidationError, UnpackException, ValueError, TypeError) as error:
         return Err(
-            f"the body is not a valid {getattr(as_type, '__name__', as_type)}: {error}"
+            f"the data is not a valid {getattr(as_type, '__name__', as_type)}: {error}"
         )
--- a/src/fuchsiadale/config/documents.py
+++ b/src/fuchsiadale/config/documents.py
@@ -1,4 +1,4 @@
-"""Document nodes that hold their file and line, and their parsing from YAML."""
+"""Parses YAML into document nodes that hold the file and line of each value."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     Attributes
     ----------
     location : Location
-        Location of the invalid value.
+        Location of the invalid value, or of the mapping that lacks a required field.
     field : str
         Dotted path of the invalid field; empty for the whole document.
     message : str
--- a/src/fuchsiadale/config/folder.py
+++ b/src/fuchsiadale/config/folder.py
@@ -93,7 +93,7 @@
 def find_forbidden_changes(old: Configuration, new: Configuration) -> list[str]:
     """Return a message for each change that operators may not make.
 
-    The number of slices of a pool cannot change.
+    The only such change is that of an existing pool's number of slices.
     """
     messages: list[str] = []
     for name, pool in old.pools.items():
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -12,7 +12,7 @@
 from fuchsiadale.config.documents import DocumentNode, Location, Problem
 
 BODY_FILE_NAME = "body"
-"""Stands for the file name in the locations of values in a request body."""
+"""File name in the locations of values that come from a request body."""
 
 
 def parse_json_object(body: bytes) -> Result[DocumentNode, list[Problem]]:
--- a/src/fuchsiadale/config/model.py
+++ b/src/fuchsiadale/config/model.py
@@ -1,4 +1,4 @@
-"""Configuration that operators apply: teams, keys, limits, queues and pools."""
+"""Configuration of teams (with shares, limits and keys), queues and pools."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
     Attributes
     ----------
     share : float
-        Weight of the team in the fair sharing of a full fleet.
+        Weight of the team in fair sharing, which applies when the fleet of workers is
+        full.
     limit : Resources
         Resources that the team may use over the whole fleet; ``slots`` is the number
         of tasks that may run at a time.
--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -14,8 +14,8 @@
 class MappingReader:
     """Reads the fields of one mapping.
 
-    An invalid or missing field adds a problem and reads as its default, so that all
-    problems of a document are found at once.
+    An invalid field, or a missing one that is required, adds a problem, and reading
+    goes on with a usable value, so that all problems of a document are found at once.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         return self._node
 
     def add_problem(self, message: str, name: str = "") -> None:
-        """Add a problem of the field `name`, or of the whole mapping if it is empty."""
+        """Add a problem of a field, or of the whole mapping if `name` is empty."""
         node = self._fields().get(name, self._node)
         path = node.path
         if name and name not in self._fields():
@@ -63,7 +63,10 @@
         return value
 
     def read_integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
-        """Return an integer field from `minimum` to `maximum`."""
+        """Return an integer field, or `default` if it is missing or invalid.
+
+        The value must be from `minimum` to `maximum`.
+        """
         node = self._get_field(name)
         if node is None:
             return default
@@ -79,7 +82,10 @@
     def read_number(
         self, name: str, default: float, minimum: float, maximum: float
     ) -> float:
-        """Return a number field from `minimum` to `maximum` as a float."""
+        """Return a number field as a float, or `default` if it is missing or invalid.
+
+        The value must be from `minimum` to `maximum`.
+        """
         node = self._get_field(name)
         if node is None:
             return default
@@ -93,7 +99,7 @@
         return float(value)
 
     def read_boolean(self, name: str, default: bool) -> bool:
-        """Return a Boolean field."""
+        """Return a Boolean field, or `default` if it is missing or invalid."""
         node = self._get_field(name)
         if node is None:
             return default
@@ -103,7 +109,10 @@
         return node.scalar
 
     def read_text_list(self, name: str) -> list[str]:
-        """Return a field that is a list of texts, or an empty list if it is missing."""
+        """Return the texts in a list field; invalid items are left out.
+
+        The result is empty if the field is missing or not a list.
+        """
         node = self._get_field(name)
         if node is None:
             return []
@@ -126,7 +135,10 @@
         return MappingReader(node, self._problems)
 
     def read_named_mappings(self, name: str) -> Iterator[tuple[str, MappingReader]]:
-        """Yield the name and a reader of each mapping in a field."""
+        """Yield the name and a reader of each mapping in a field.
+
+        A value that is not a mapping adds a problem and is yielded as an empty mapping.
+        """
         node = self._get_field(name)
         if node is None:
             return
--- a/src/fuchsiadale/config/settings.py
+++ b/src/fuchsiadale/config/settings.py
@@ -44,7 +44,8 @@
     callers : Address
         Address on which the process listens for callers, operators and health checks.
     peers : Address
-        Address on which the process listens for its peers, which they also connect to.
+        Address on which the process listens for its peers; they connect to the same
+        address.
     platform_url : str
         Base URL of the platform's services.
     statsd : Address or None
@@ -52,10 +53,10 @@
     admin_key_sha256 : tuple of str
         SHA-256 digests of the operators' keys, in hexadecimal digits.
     drain_notice_s : float
-        Seconds for which a draining process fails its readiness check before it refuses
-        new work.
+        Seconds for which a draining process reports that it is not ready, so that the
+        load balancer sends callers elsewhere, before it refuses new work.
     drain_limit_s : float
-        Seconds after which a draining process stops even if it has not finished.
+        Longest duration of a drain, in seconds; the process then stops in any case.
     """
 
     host: str
--- a/src/fuchsiadale/loop_clock.py
+++ b/src/fuchsiadale/loop_clock.py
@@ -6,7 +6,7 @@
 
 
 class LoopClock(Clock):
-    """Returns the time of the running event loop."""
+    """Clock that returns the monotonic time of the running event loop."""
 
     def now(self) -> float:
         """Return the current time in seconds."""
--- a/src/fuchsiadale/metrics.py
+++ b/src/fuchsiadale/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of events such as refusals, retries and changes of state."""
+"""Counters of events: each refusal, each retry and each change of state."""
 
 from __future__ import annotations
 
--- a/src/fuchsiadale/peers/client.py
+++ b/src/fuchsiadale/peers/client.py
@@ -111,8 +111,9 @@
         self._address = address
         self._channel = grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
         self._stub = PeerStub(self._channel)
-        # A job is accepted only once it is recorded, and a batch is answered as a
-        # whole, so requests in a batch with jobs would wait for the jobs' records.
+        # Requests and jobs are sent in separate batches. A batch is answered as a
+        # whole, and a job only once it is recorded, so requests in a batch with jobs
+        # would wait for the records of the jobs.
         self._request_batch = _Batch()
         self._job_batch = _Batch()
 
@@ -128,7 +129,7 @@
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work whose result goes to a member; return the id of the work."""
+        """Submit work; return the id of the work accepted."""
         loop = asyncio.get_running_loop()
         is_request = submission.kind is WorkKind.REQUEST
         batch = self._request_batch if is_request else self._job_batch
--- a/src/fuchsiadale/peers/failures.py
+++ b/src/fuchsiadale/peers/failures.py
@@ -22,5 +22,5 @@
 
 def make_unknown_outcome_refusal(peer: str, reason: str) -> Refusal:
     """Return the refusal for a call that the peer may or may not have processed."""
-    message = f"no valid reply from {peer}: {reason}"
+    message = f"no valid reply from member {peer}: {reason}"
     return Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
--- a/src/fuchsiadale/peers/gateway.py
+++ b/src/fuchsiadale/peers/gateway.py
@@ -1,4 +1,4 @@
-"""Interfaces through which the owner of a partition and other peers are called."""
+"""Interfaces for calls to the owner of a partition and to other entry processes."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
         Returns
         -------
         Result
-            The id of the work accepted, which is that of earlier work if the
-            idempotency key was used before, or the refusal.
+            The id of the work accepted, or the refusal. The id is that of earlier work
+            if the idempotency key was used before.
         """
 
     @abstractmethod
@@ -55,6 +55,11 @@
         member : str
             Id of the member whose caller no longer waits; empty if the caller
             cancelled a job.
+
+        Returns
+        -------
+        Result
+            A view of the work, cancelled or not, or the refusal.
         """
 
     @abstractmethod
@@ -73,7 +78,7 @@
 
 
 class Peer(Gateway):
-    """Client of another entry process."""
+    """Interface of a client of another entry process."""
 
     @property
     @abstractmethod
@@ -105,7 +110,7 @@
 
 
 class PeerConnector(ABC):
-    """Creates clients of peers."""
+    """Interface of a factory that creates clients of peers."""
 
     @abstractmethod
     def connect(self, member: str, address: str) -> Peer:
--- a/src/fuchsiadale/peers/results.py
+++ b/src/fuchsiadale/peers/results.py
@@ -20,10 +20,11 @@
     Attributes
     ----------
     last_number : int
-        Sequence number of the last result; the member sends it with its next call to
-        acknowledge this result and all earlier ones.
+        Sequence number of the last result added for the member, 0 if there was none;
+        the member sends it with its next call to acknowledge this result and all
+        earlier ones.
     views : list of WorkView
-        The results, oldest first.
+        The unacknowledged results, oldest first.
     """
 
     last_number: int
@@ -59,7 +60,7 @@
 
 
 class ResultOutboxes:
-    """Keeps each result until the member whose caller waits acknowledges it."""
+    """Keeps the results for each member until the member acknowledges them."""
 
     def __init__(self) -> None:
         self._outboxes: dict[str, _Outbox] = {}
@@ -93,7 +94,7 @@
     async def collect(
         self, member: str, received_through: int, hold_s: float
     ) -> CollectedResults:
-        """Return the unacknowledged results of a member, waiting for one if needed.
+        """Return the unacknowledged results of a member; wait if there are none.
 
         Parameters
         ----------
@@ -104,6 +105,11 @@
             all earlier ones are acknowledged.
         hold_s : float
             Longest time to wait for a result, in seconds.
+
+        Returns
+        -------
+        CollectedResults
+            The results; none if no result was added within `hold_s` seconds.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
         while outbox.results and outbox.results[0].number <= received_through:
@@ -119,5 +125,5 @@
         return CollectedResults(outbox.last_number, views)
 
     def drop_member(self, member: str) -> None:
-        """Drop the results of a member that has left."""
+        """Drop the results of a member that is gone, without calling `on_delivered`."""
         self._outboxes.pop(member, None)
--- a/src/fuchsiadale/peers/service.py
+++ b/src/fuchsiadale/peers/service.py
@@ -55,7 +55,10 @@
 
 
 class PeerService(PeerServicer):  # type: ignore[misc]
-    """Answers calls of peers about the partitions that this process owns.
+    """Answers calls of peers.
+
+    Peers call about the partitions that this process owns, collect results for their
+    callers, and exchange gossip.
 
     Parameters
     ----------
@@ -86,7 +89,7 @@
     async def Collect(  # noqa: N802
         self, request: CollectRequest, context: Context
     ) -> CollectReply:
-        """Return the results for the calling member."""
+        """Return the unacknowledged results of the calling member; wait if none."""
         collected = await self._outboxes.collect(
             request.member, request.received_through, request.hold_ms / 1000
         )
--- a/src/fuchsiadale/supervisor.py
+++ b/src/fuchsiadale/supervisor.py
@@ -20,7 +20,7 @@
     """Runs children as tasks and restarts those that fail.
 
     A child that returns is not restarted. A child that raises an exception is restarted
-    after a delay that doubles with each failure.
+    after a delay that doubles with each failure, up to ``MAX_RESTART_DELAY_S`` seconds.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
 
     @property
     def child_names(self) -> list[str]:
-        """Names of the running children."""
+        """Names of the children that run or wait for a restart."""
         return list(self._children)
 
     def start(self, name: str, main: ChildMain) -> None:
--- a/tests/test_config_files.py
+++ b/tests/test_config_files.py
@@ -24,7 +24,10 @@
 
 
 def assert_matches_expected(folder: str, name: str, output: str) -> None:
-    """Check the output against the expected file; rewrite the file when recording."""
+    """Check that the output equals the expected file.
+
+    The file is written first if the variable ``FUCHSIADALE_RECORD`` is set.
+    """
     expected = DATA / folder / f"{name}.expected"
     if os.environ.get("FUCHSIADALE_RECORD"):
         expected.write_text(output, "utf-8")
@@ -32,7 +35,7 @@
 
 
 def split_source_files(text: str) -> list[SourceFile]:
-    """Split the text of a case into files; each starts with ``--- <name>``."""
+    """Split the text of a case into files; each starts with a line ``--- <name>``."""
     files = []
     for part in text.split("--- ")[1:]:
         name, _, body = part.partition("\n")
