--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -13,7 +13,7 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.reports import WorkerReport
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.work import (
@@ -55,13 +55,13 @@
     ]
     names = [info.name for info in infos]
     authority = Authority(clock, names, taken_over=False)
-    authority.lease_renewed(clock.now())
+    authority.record_lease_renewal(clock.now())
     partition = Partition("pool.0", 1, clock, authority)
-    reconciliation = Reconciliation(partition, clock)
+    reconciliation = Reconciler(partition, clock)
     reconciliation.set_workers(infos, names)
     for name in names:
         report = WorkerReport(clock_s=1.0, boot_id="b")
-        reconciliation.adopted(name, report, clock.now())
+        reconciliation.process_adoption(name, report, clock.now())
     return partition
 
 
@@ -105,7 +105,7 @@
         if count == WARM_UP_DECISIONS:
             began_ns = time.perf_counter_ns()
         before_ns = time.perf_counter_ns()
-        partition.ended(running[count], AttemptEnd.SUCCEEDED, b"answer")
+        partition.mark_ended(running[count], AttemptEnd.SUCCEEDED, b"answer")
         running.extend(_decide(partition, next(source)))
         if count >= WARM_UP_DECISIONS:
             histogram.record_value(time.perf_counter_ns() - before_ns)
@@ -132,6 +132,6 @@
     started: list[str] = []
     for attempt in partition.step().starts:
         partition.mark_sent(attempt, 1e12)
-        partition.started(attempt.attempt_id)
+        partition.mark_started(attempt.attempt_id)
         started.append(attempt.attempt_id)
     return started
--- a/src/fuchsiadale/decision/ledger.py
+++ b/src/fuchsiadale/decision/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a partition's workers: what each has and what runs there."""
+"""Ledger of the capacity and the allocations of each worker of a partition."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from attrs import frozen
 from transitions import Machine
 
-from fuchsiadale.decision.free_index import FreeIndex
+from fuchsiadale.decision.availability_index import AvailabilityIndex
 from fuchsiadale.decision.resources import NO_RESOURCES, Resources
 from fuchsiadale.decision.work import Attempt
 
 
 @frozen
 class WorkerInfo:
-    """What the platform's host list says of a worker.
+    """Description of a worker from the host list of the platform.
 
     Attributes
     ----------
     name : str
-        Unique name.
+        Unique name of the worker.
     pool : str
-        The pool it belongs to.
+        Name of the pool that it belongs to.
     address : str
         Base URL of its backend server.
     failure_domain : str
-        The failure domain it stands in.
+        Failure domain that it belongs to.
     rack : str
-        The rack it stands in.
+        Rack that it is installed in.
     capacity : Resources
-        What it has room for.
+        Total resources that can be allocated to tasks on it.
     leaving : bool
-        Whether it is about to leave.
+        Whether it is about to leave the pool.
     fencing : bool
-        Whether its backend server compares epochs.
+        Whether its backend server rejects orders of an older epoch.
     """
 
     name: str
@@ -49,7 +49,23 @@
 
 
 class WorkerState(Enum):
-    """Whether a worker may get new tasks."""
+    """The state of a worker; new tasks are placed only on workers in ``READY``.
+
+    Attributes
+    ----------
+    ADOPTING
+        The worker has not yet accepted the epoch of the partition's owner.
+    READY
+        The worker takes new tasks.
+    LEAVING
+        The worker is about to leave the pool.
+    QUARANTINED
+        The worker takes no new tasks for some time, since attempts failed on it.
+    SILENT
+        The worker has stopped answering heartbeats.
+    GONE
+        The worker has left the host list.
+    """
 
     ADOPTING = "adopting"
     READY = "ready"
@@ -74,12 +90,24 @@
 
 
 class Worker:
-    """One worker's room and the attempts that are charged to it.
+    """A worker with its available resources and the attempts allocated on it.
 
     Parameters
     ----------
     info : WorkerInfo
-        What the host list says of it.
+        Description of the worker from the host list.
+
+    Attributes
+    ----------
+    unallocated : Resources
+        Capacity that is not allocated to attempts; negative amounts if the capacity
+        was lowered below the allocations.
+    attempts : dict of str to Attempt
+        Attempts that resources are allocated to, by attempt id, oldest first.
+    boot_id : str
+        Boot identifier of the worker; empty if unknown.
+    overuse : Resources
+        Measured usage of its tasks beyond the allocated resources.
     """
 
     trigger: Callable[[str], bool]
@@ -87,38 +115,40 @@
 
     def __init__(self, info: WorkerInfo) -> None:
         self.info = info
-        self.free = info.capacity
+        self.unallocated = info.capacity
         self.attempts: dict[str, Attempt] = {}
         self.boot_id = ""
         self.overuse = NO_RESOURCES
 
     @property
-    def is_open(self) -> bool:
-        """Whether new tasks may be placed here."""
+    def is_schedulable(self) -> bool:
+        """Whether new tasks may be placed on the worker."""
         return self.state is WorkerState.READY
 
     @property
-    def room(self) -> Resources:
-        """What is free and not taken by tasks that exceed what they declared."""
-        return self.free - self.overuse
+    def available(self) -> Resources:
+        """Unallocated resources, less what tasks use beyond their allocations."""
+        return self.unallocated - self.overuse
 
     @property
-    def used(self) -> Resources:
-        """The room that is charged."""
-        return self.info.capacity - self.free
+    def allocated(self) -> Resources:
+        """Resources that are allocated to attempts."""
+        return self.info.capacity - self.unallocated
 
 
 class Ledger:
-    """All workers of one partition.
+    """All workers of one partition, with the resources allocated on each.
 
-    Room is charged when an attempt is planned and given back only when the attempt
-    surely ended, so the sum of what may run never exceeds a worker's capacity.
+    Resources are allocated when an attempt is planned and released only once the
+    attempt is known to have ended. So placement never allocates more than a worker's
+    capacity to the attempts that may run on it at the same time; only a lowered
+    capacity or an adopted attempt can exceed it.
     """
 
     def __init__(self) -> None:
-        self._workers: dict[str, Worker] = {}
-        self._index = FreeIndex()
-        self._domain_indexes: dict[str, FreeIndex] = {}
+        self._worker_by_name: dict[str, Worker] = {}
+        self._availability_index = AvailabilityIndex()
+        self._index_by_domain: dict[str, AvailabilityIndex] = {}
         self._capacity = NO_RESOURCES
         self._machine = Machine(
             model=None,
@@ -131,33 +161,36 @@
 
     @property
     def workers(self) -> dict[str, Worker]:
-        """The workers by name."""
-        return self._workers
+        """All workers by name."""
+        return self._worker_by_name
 
     @property
     def capacity(self) -> Resources:
-        """The capacity of all workers that have not gone."""
+        """Total capacity of all workers except those in state ``GONE``."""
         return self._capacity
 
     @property
     def failure_domains(self) -> list[str]:
-        """The failure domains that have an open worker, in order of name."""
-        return sorted(self._domain_indexes)
-
-    def add(self, info: WorkerInfo) -> Worker:
-        """Add a worker, or take over what the host list now says of it."""
-        worker = self._workers.get(info.name)
-        is_gone = worker is not None and worker.state is WorkerState.GONE
-        if worker is not None and worker.info == info and not is_gone:
+        """Sorted names of all failure domains that ever had a schedulable worker.
+
+        A domain stays listed when its workers leave.
+        """
+        return sorted(self._index_by_domain)
+
+    def add_or_update(self, info: WorkerInfo) -> Worker:
+        """Add a worker, or update it to its new description in the host list."""
+        worker = self._worker_by_name.get(info.name)
+        was_gone = worker is not None and worker.state is WorkerState.GONE
+        if worker is not None and worker.info == info and not was_gone:
             return worker
         if worker is None:
             worker = Worker(info)
             self._machine.add_model(worker)
-            self._workers[info.name] = worker
+            self._worker_by_name[info.name] = worker
         else:
-            used = worker.used
+            allocated = worker.allocated
             worker.info = info
-            worker.free = info.capacity - used
+            worker.unallocated = info.capacity - allocated
             if worker.state is WorkerState.GONE and not info.leaving:
                 self.change_state(info.name, "return_")
         if info.leaving:
@@ -167,8 +200,17 @@
         return worker
 
     def change_state(self, name: str, event: str) -> bool:
-        """Apply a state change to a worker; return whether its state changed."""
-        worker = self._workers[name]
+        """Trigger a transition of a worker; return whether its state changed.
+
+        Parameters
+        ----------
+        name : str
+            Name of the worker.
+        event : str
+            Name of the trigger. It has no effect without a transition from the
+            present state.
+        """
+        worker = self._worker_by_name[name]
         before = worker.state
         worker.trigger(event)
         self._reindex(worker)
@@ -177,106 +219,109 @@
         return worker.state is not before
 
     def remove(self, name: str) -> None:
-        """Forget a worker to which nothing is charged."""
-        worker = self._workers.pop(name)
+        """Remove a worker on which nothing is allocated."""
+        worker = self._worker_by_name.pop(name)
         self._machine.remove_model(worker)
         self._unindex(worker)
         self._capacity = self._sum_capacity()
 
-    def charge(self, attempt: Attempt) -> None:
-        """Charge an attempt to its worker; charging one twice has no effect."""
-        worker = self._workers[attempt.worker]
+    def allocate(self, attempt: Attempt) -> None:
+        """Allocate an attempt's resources on its worker, unless already allocated."""
+        worker = self._worker_by_name[attempt.worker]
         if attempt.attempt_id in worker.attempts:
             return
         worker.attempts[attempt.attempt_id] = attempt
-        worker.free = worker.free - attempt.resources
+        worker.unallocated = worker.unallocated - attempt.resources
         self._reindex(worker)
 
-    def give_back(self, attempt: Attempt) -> bool:
-        """Give back the room of an attempt that surely ended.
+    def deallocate(self, attempt: Attempt) -> bool:
+        """Release the resources of an attempt that is known to have ended.
 
         Returns
         -------
         bool
-            False if the attempt was not charged.
+            False if no resources were allocated to the attempt.
         """
-        worker = self._workers.get(attempt.worker)
+        worker = self._worker_by_name.get(attempt.worker)
         if worker is None or worker.attempts.pop(attempt.attempt_id, None) is None:
             return False
-        worker.free = worker.free + attempt.resources
+        worker.unallocated = worker.unallocated + attempt.resources
         self._reindex(worker)
         return True
 
-    def set_usage(self, name: str, usage: Resources) -> None:
-        """Take what a worker's tasks really take of processors and memory.
+    def set_measured_usage(self, name: str, usage: Resources) -> None:
+        """Update the measured usage of processors and memory by a worker's tasks.
 
         Parameters
         ----------
         name : str
-            The worker.
+            Name of the worker.
         usage : Resources
-            What was measured; amounts below what is charged change nothing.
+            Measured usage; an amount below the allocated one has no effect.
         """
-        worker = self._workers[name]
-        overuse = (usage - worker.used).maximum(NO_RESOURCES)
+        worker = self._worker_by_name[name]
+        overuse = (usage - worker.allocated).maximum(NO_RESOURCES)
         if overuse != worker.overuse:
             worker.overuse = overuse
             self._reindex(worker)
 
-    def candidates(
-        self, need: Resources, failure_domain: str | None = None
+    def candidate_batches(
+        self, demand: Resources, failure_domain: str | None = None
     ) -> Iterator[list[Worker]]:
-        """Yield samples of open workers that have room, smallest room first.
+        """Yield samples of schedulable workers with enough available resources.
+
+        There is one sample for each size class of available resources. The classes are
+        in ascending order of accelerators, then processors, then memory.
 
         Parameters
         ----------
-        need : Resources
-            What has to fit.
+        demand : Resources
+            Resources that must be available.
         failure_domain : str, optional
-            Only workers of this failure domain.
+            Restricts the search to the workers of this failure domain.
         """
-        index: FreeIndex | None = self._index
+        index: AvailabilityIndex | None = self._availability_index
         if failure_domain is not None:
-            index = self._domain_indexes.get(failure_domain)
+            index = self._index_by_domain.get(failure_domain)
         if index is None:
             return
-        for names in index.candidates(need):
+        for names in index.candidate_batches(demand):
             fitting = [
                 worker
-                for worker in map(self._workers.__getitem__, names)
-                if need.fits_in(worker.room)
+                for worker in map(self._worker_by_name.__getitem__, names)
+                if demand.fits_in(worker.available)
             ]
             if fitting:
                 yield fitting
 
-    def could_ever_fit(self, need: Resources) -> bool:
-        """Tell whether an empty worker of this partition could hold `need`."""
+    def fits_capacity_of_any_worker(self, demand: Resources) -> bool:
+        """Tell whether `demand` fits the capacity of a worker that is not ``GONE``."""
         return any(
-            need.fits_in(worker.info.capacity)
-            for worker in self._workers.values()
+            demand.fits_in(worker.info.capacity)
+            for worker in self._worker_by_name.values()
             if worker.state is not WorkerState.GONE
         )
 
     def _sum_capacity(self) -> Resources:
         total = NO_RESOURCES
-        for worker in self._workers.values():
+        for worker in self._worker_by_name.values():
             if worker.state is not WorkerState.GONE:
                 total = total + worker.info.capacity
         return total
 
     def _reindex(self, worker: Worker) -> None:
-        room = worker.room.maximum(NO_RESOURCES)
-        if not worker.is_open or room.slots <= 0:
+        available = worker.available.maximum(NO_RESOURCES)
+        if not worker.is_schedulable or available.slots <= 0:
             self._unindex(worker)
             return
-        self._index.put(worker.info.name, room)
+        self._availability_index.put(worker.info.name, available)
         domain = worker.info.failure_domain
-        if domain not in self._domain_indexes:
-            self._domain_indexes[domain] = FreeIndex()
-        self._domain_indexes[domain].put(worker.info.name, room)
+        if domain not in self._index_by_domain:
+            self._index_by_domain[domain] = AvailabilityIndex()
+        self._index_by_domain[domain].put(worker.info.name, available)
 
     def _unindex(self, worker: Worker) -> None:
-        self._index.discard(worker.info.name)
-        domain_index = self._domain_indexes.get(worker.info.failure_domain)
+        self._availability_index.discard(worker.info.name)
+        domain_index = self._index_by_domain.get(worker.info.failure_domain)
         if domain_index is not None:
             domain_index.discard(worker.info.name)
--- a/src/fuchsiadale/decision/quarantine.py
+++ b/src/fuchsiadale/decision/quarantine.py
@@ -1,51 +1,57 @@
-"""Closes workers that are to blame for failures, and probes them again."""
+"""Quarantines workers that cause failures, and releases them after a time."""
 
 from __future__ import annotations
 
-from fuchsiadale.decision.blame import Blame
 from fuchsiadale.decision.clock import Clock
+from fuchsiadale.decision.failure_tracker import FailureTracker
 from fuchsiadale.decision.ledger import Ledger
 from fuchsiadale.decision.work import Attempt, AttemptEnd
 
 
-class Quarantine:
-    """Acts on what the ends of attempts say of their workers.
+class QuarantineManager:
+    """Quarantines workers according to how their attempts end.
 
     Parameters
     ----------
     ledger : Ledger
         The partition's workers.
-    blame : Blame
-        Counts failures.
+    failure_tracker : FailureTracker
+        Counts the failures of work and of workers.
     clock : Clock
         The clock.
     """
 
-    def __init__(self, ledger: Ledger, blame: Blame, clock: Clock) -> None:
+    def __init__(
+        self, ledger: Ledger, failure_tracker: FailureTracker, clock: Clock
+    ) -> None:
         self._ledger = ledger
-        self._blame = blame
+        self._failure_tracker = failure_tracker
         self._clock = clock
 
-    def note_end(self, work_id: str, attempt: Attempt, end: AttemptEnd) -> int:
-        """Note an attempt's end; return how many workers were closed for it."""
-        suspects: list[str] = []
-        if end is AttemptEnd.FAILED and self._blame.failed(work_id, attempt.worker):
-            suspects = [attempt.worker]
+    def record_end(self, work_id: str, attempt: Attempt, end: AttemptEnd) -> int:
+        """Record an attempt's end; return how many workers it put in quarantine."""
+        workers_to_quarantine: list[str] = []
+        if end is AttemptEnd.FAILED and self._failure_tracker.record_failure(
+            work_id, attempt.worker
+        ):
+            workers_to_quarantine = [attempt.worker]
         elif end is AttemptEnd.SUCCEEDED:
-            suspects = self._blame.succeeded(work_id, attempt.worker)
-        return sum(self._close(name) for name in suspects)
-
-    def probe(self) -> None:
-        """Open the workers that may be tried again."""
-        for name in self._blame.due_for_probe(self._clock.now()):
+            workers_to_quarantine = self._failure_tracker.record_success(
+                work_id, attempt.worker
+            )
+        return sum(self._quarantine(name) for name in workers_to_quarantine)
+
+    def release_due_workers(self) -> None:
+        """Release the workers whose quarantine is over."""
+        for name in self._failure_tracker.end_expired_quarantines(self._clock.now()):
             if name in self._ledger.workers:
                 self._ledger.change_state(name, "release")
 
-    def _close(self, name: str) -> bool:
-        """Close a worker, unless it has gone; return whether it was open."""
+    def _quarantine(self, name: str) -> bool:
+        """Quarantine a worker; return False if it has gone or is not ready."""
         if name not in self._ledger.workers:
             return False
         if not self._ledger.change_state(name, "quarantine"):
             return False
-        self._blame.quarantine(name, self._clock.now())
+        self._failure_tracker.record_quarantine(name, self._clock.now())
         return True
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 from result import Err, Result
 
-from fuchsiadale.decision.errors import Refusal, RunState
+from fuchsiadale.decision.errors import ExecutionOutcome, Refusal
 from fuchsiadale.decision.views import WorkView
 from fuchsiadale.decision.work import Program, Submission, TaskState, WorkKind
 from fuchsiadale.standin.worker import Observation
-from tests.builders import make_submission, make_worker
+from tests.builders import make_submission, make_worker_info
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
 
@@ -113,17 +113,17 @@
         runs: list[Observation],
     ) -> None:
         if isinstance(outcome, Err):
-            state = outcome.err_value.answer.run_state
+            state = outcome.err_value.error_response.execution_outcome
         elif outcome.ok_value.tasks[0].state is TaskState.SUCCEEDED:
-            state = RunState.RAN
+            state = ExecutionOutcome.RAN
             answer = json.loads(submission.program.payload)["answer"]
             assert outcome.ok_value.tasks[0].answer == answer.encode()
         else:
             assert outcome.ok_value.refusal is not None
-            state = outcome.ok_value.refusal.answer.run_state
-        if state is RunState.RAN:
+            state = outcome.ok_value.refusal.error_response.execution_outcome
+        if state is ExecutionOutcome.RAN:
             assert len(runs) >= 1
-        if state is RunState.NOT_RUN:
+        if state is ExecutionOutcome.NOT_RUN:
             assert runs == []
 
     async def _call(self, number: int) -> None:
@@ -201,7 +201,7 @@
 
 
 async def play(faults: list[Fault], fencing: bool = True) -> None:
-    workers = [make_worker(index, fencing=fencing) for index in range(4)]
+    workers = [make_worker_info(index, fencing=fencing) for index in range(4)]
     config = CONFIG if fencing else CONFIG.replace("{}", "{fencing: false}")
     async with TestCluster(3, workers, config) as cluster:
         chaos = Chaos(cluster)
