--- a/src/fuchsiadale/config/reader.py
+++ b/src/fuchsiadale/config/reader.py
@@ -1,154 +1,169 @@
-"""Typed reading of located documents, with every problem collected."""
+"""Reads typed fields from document nodes and collects every problem found."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterator
 
-from fuchsiadale.config.located import Located, Problem
+from fuchsiadale.config.documents import DocumentNode, Problem
 
 NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
+"""Pattern of names, such as those of hosts, teams and pools; at most 63 characters."""
 
 
-class Reader:
+class MappingReader:
     """Reads the fields of one mapping.
 
-    A field that is missing or of the wrong type is noted as a problem, and its
-    default is returned, so that one reading finds every problem.
+    An invalid field, or a missing one that is required, adds a problem, and reading
+    goes on with a usable value, so that all problems of a document are found at once.
 
     Parameters
     ----------
-    node : Located
+    node : DocumentNode
         The mapping.
     problems : list of Problem
-        Takes what is wrong.
+        List that problems are appended to.
     """
 
-    def __init__(self, node: Located, problems: list[Problem]) -> None:
+    def __init__(self, node: DocumentNode, problems: list[Problem]) -> None:
         self._node = node
         self._problems = problems
-        self._known: set[str] = set()
+        self._known_names: set[str] = set()
         if node.fields is None:
-            self.complain("must be a mapping")
+            self.add_problem("must be a mapping")
 
     @property
-    def node(self) -> Located:
-        """The mapping that is read."""
+    def node(self) -> DocumentNode:
+        """Node of the mapping."""
         return self._node
 
-    def complain(self, message: str, name: str = "") -> None:
-        """Note a problem of the mapping or of one of its fields."""
+    def add_problem(self, message: str, name: str = "") -> None:
+        """Add a problem of a field, or of the whole mapping if `name` is empty."""
         node = self._fields().get(name, self._node)
         path = node.path
         if name and name not in self._fields():
             path = f"{self._node.path}.{name}" if self._node.path else name
         self._problems.append(Problem(node.location, path, message))
 
-    def text(self, name: str, default: str | None = None) -> str:
-        """Return a text field; it is required if there is no default."""
-        node = self._find(name, required=default is None)
+    def read_text(self, name: str, default: str | None = None) -> str:
+        """Return a text field, which is required if `default` is None."""
+        node = self._get_field(name, required=default is None)
         if node is None:
             return default or ""
         if not isinstance(node.scalar, str):
-            self.complain("must be text", name)
+            self.add_problem("must be text", name)
             return default or ""
         return node.scalar
 
-    def name(self, name: str, default: str | None = None) -> str:
-        """Return a field that holds a name."""
-        value = self.text(name, default)
+    def read_name(self, name: str, default: str | None = None) -> str:
+        """Return a text field whose value must match ``NAME_PATTERN``."""
+        value = self.read_text(name, default)
         if value and not NAME_PATTERN.fullmatch(value):
-            self.complain("must be lower-case letters, digits and hyphens", name)
+            self.add_problem("must be lower-case letters, digits and hyphens", name)
         return value
 
-    def integer(self, name: str, default: int, least: int, most: int) -> int:
-        """Return a whole number within bounds."""
-        node = self._find(name)
+    def read_integer(self, name: str, default: int, minimum: int, maximum: int) -> int:
+        """Return an integer field, or `default` if it is missing or invalid.
+
+        The value must be from `minimum` to `maximum`.
+        """
+        node = self._get_field(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int) or isinstance(value, bool):
-            self.complain("must be a whole number", name)
+            self.add_problem("must be a whole number", name)
             return default
-        if not least <= value <= most:
-            self.complain(f"must be from {least} to {most}", name)
+        if not minimum <= value <= maximum:
+            self.add_problem(f"must be from {minimum} to {maximum}", name)
             return default
         return value
 
-    def number(self, name: str, default: float, least: float, most: float) -> float:
-        """Return a number within bounds."""
-        node = self._find(name)
+    def read_number(
+        self, name: str, default: float, minimum: float, maximum: float
+    ) -> float:
+        """Return a number field as a float, or `default` if it is missing or invalid.
+
+        The value must be from `minimum` to `maximum`.
+        """
+        node = self._get_field(name)
         if node is None:
             return default
         value = node.scalar
         if not isinstance(value, int | float) or isinstance(value, bool):
-            self.complain("must be a number", name)
+            self.add_problem("must be a number", name)
             return default
-        if not least <= value <= most:
-            self.complain(f"must be from {least:g} to {most:g}", name)
+        if not minimum <= value <= maximum:
+            self.add_problem(f"must be from {minimum:g} to {maximum:g}", name)
             return default
         return float(value)
 
-    def boolean(self, name: str, default: bool) -> bool:
-        """Return a yes or no."""
-        node = self._find(name)
+    def read_boolean(self, name: str, default: bool) -> bool:
+        """Return a Boolean field, or `default` if it is missing or invalid."""
+        node = self._get_field(name)
         if node is None:
             return default
         if not isinstance(node.scalar, bool):
-            self.complain("must be true or false", name)
+            self.add_problem("must be true or false", name)
             return default
         return node.scalar
 
-    def texts(self, name: str) -> list[str]:
-        """Return a list of texts; empty if it is missing."""
-        node = self._find(name)
+    def read_text_list(self, name: str) -> list[str]:
+        """Return the texts in a list field; invalid items are left out.
+
+        The result is empty if the field is missing or not a list.
+        """
+        node = self._get_field(name)
         if node is None:
             return []
         if node.items is None:
-            self.complain("must be a list", name)
+            self.add_problem("must be a list", name)
             return []
-        found: list[str] = []
+        texts: list[str] = []
         for item in node.items:
             if isinstance(item.scalar, str):
-                found.append(item.scalar)
+                texts.append(item.scalar)
             else:
                 self._problems.append(Problem(item.location, item.path, "must be text"))
-        return found
+        return texts
 
-    def mapping(self, name: str) -> Reader | None:
-        """Return the reader of an inner mapping, or None if it is missing."""
-        node = self._find(name)
+    def read_mapping(self, name: str) -> MappingReader | None:
+        """Return a reader of a field that is a mapping, or None if it is missing."""
+        node = self._get_field(name)
         if node is None:
             return None
-        return Reader(node, self._problems)
+        return MappingReader(node, self._problems)
+
+    def read_named_mappings(self, name: str) -> Iterator[tuple[str, MappingReader]]:
+        """Yield the name and a reader of each mapping in a field.
 
-    def named_mappings(self, name: str) -> Iterator[tuple[str, Reader]]:
-        """Yield the inner mappings of a field, by name."""
-        node = self._find(name)
+        A value that is not a mapping adds a problem and is yielded as an empty mapping.
+        """
+        node = self._get_field(name)
         if node is None:
             return
         if node.fields is None:
-            self.complain("must be a mapping", name)
+            self.add_problem("must be a mapping", name)
             return
-        for inner, value in node.fields.items():
-            reader = Reader(value, self._problems)
-            if not NAME_PATTERN.fullmatch(inner):
-                reader.complain("names are lower-case letters, digits and hyphens")
-            yield inner, reader
-
-    def finish(self) -> None:
-        """Complain of every field that was not read."""
+        for inner_name, value in node.fields.items():
+            reader = MappingReader(value, self._problems)
+            if not NAME_PATTERN.fullmatch(inner_name):
+                reader.add_problem("names are lower-case letters, digits and hyphens")
+            yield inner_name, reader
+
+    def report_unknown_fields(self) -> None:
+        """Add a problem for each field of the mapping that no method has read."""
         for name in self._fields():
-            if name not in self._known:
-                known = ", ".join(sorted(self._known))
-                self.complain(f"unknown field; known are {known}", name)
+            if name not in self._known_names:
+                known = ", ".join(sorted(self._known_names))
+                self.add_problem(f"unknown field; known are {known}", name)
 
-    def _fields(self) -> dict[str, Located]:
+    def _fields(self) -> dict[str, DocumentNode]:
         return self._node.fields or {}
 
-    def _find(self, name: str, required: bool = False) -> Located | None:
-        self._known.add(name)
+    def _get_field(self, name: str, required: bool = False) -> DocumentNode | None:
+        self._known_names.add(name)
         node = self._fields().get(name)
         if node is None and required:
-            self.complain("is missing", name)
+            self.add_problem("is missing", name)
         return node
--- a/src/fuchsiadale/peers/failures.py
+++ b/src/fuchsiadale/peers/failures.py
@@ -1,4 +1,4 @@
-"""Refusals on their way between peers."""
+"""Conversion of refusals to and from the messages that peers exchange."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from fuchsiadale.peers.peer_pb2 import Failure
 
 
-def to_failure(refusal: Refusal) -> Failure:
-    """Return the message of a refusal."""
+def encode_refusal(refusal: Refusal) -> Failure:
+    """Return the message that carries a refusal."""
     return Failure(kind=refusal.kind.value, message=refusal.message)
 
 
-def from_failure(failure: Failure) -> Refusal:
-    """Return the refusal in a message; a kind not known here is internal."""
+def decode_refusal(failure: Failure) -> Refusal:
+    """Return the refusal in a message; an unknown kind becomes ``INTERNAL``."""
     try:
         kind = ErrorKind(failure.kind)
     except ValueError:
@@ -20,7 +20,7 @@
     return Refusal(kind, failure.message)
 
 
-def unreachable(peer: str, reason: str) -> Refusal:
-    """Return the refusal for a call that may have arrived."""
-    message = f"no answer from {peer}: {reason}"
+def make_unknown_outcome_refusal(peer: str, reason: str) -> Refusal:
+    """Return the refusal for a call that the peer may or may not have processed."""
+    message = f"no valid reply from member {peer}: {reason}"
     return Refusal(ErrorKind.OUTCOME_UNKNOWN, message)
--- a/src/fuchsiadale/supervisor.py
+++ b/src/fuchsiadale/supervisor.py
@@ -1,4 +1,4 @@
-"""A supervisor tree for the loop's tasks."""
+"""Supervisor tree for tasks of the event loop."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from eliot import log_message
 
 RESTART_DELAY_S = 0.2
+"""Delay before a child's first restart, in seconds."""
+
 MAX_RESTART_DELAY_S = 5.0
+"""Longest delay before a restart, in seconds."""
 
 ChildMain = Callable[[], Awaitable[None]]
 
 
 class Supervisor:
-    """Runs children and starts them again when they fail.
+    """Runs children as tasks and restarts those that fail.
 
-    A child that returns is done; one that raises is restarted, with a delay that
-    doubles at each failure in a row.
+    A child that returns is not restarted. A child that raises an exception is restarted
+    after a delay that doubles with each failure, up to ``MAX_RESTART_DELAY_S`` seconds.
 
     Parameters
     ----------
     name : str
-        Name in the logs.
+        Name of the supervisor in the log.
     """
 
     def __init__(self, name: str) -> None:
@@ -31,33 +34,33 @@
         self._supervisors: dict[str, Supervisor] = {}
 
     @property
-    def children(self) -> list[str]:
-        """Names of the children that run."""
+    def child_names(self) -> list[str]:
+        """Names of the children that run or wait for a restart."""
         return list(self._children)
 
     def start(self, name: str, main: ChildMain) -> None:
-        """Run a child; one of the same name is ended first."""
-        self.end(name)
+        """Start a child; cancel a running child of the same name first."""
+        self.cancel_child(name)
         task = asyncio.get_running_loop().create_task(
-            self._keep_running(name, main), name=f"{self._name}/{name}"
+            self._run_with_restarts(name, main), name=f"{self._name}/{name}"
         )
         self._children[name] = task
-        task.add_done_callback(lambda done: self._forget(name, done))
+        task.add_done_callback(lambda done: self._discard_child(name, done))
 
-    def add(self, name: str) -> Supervisor:
-        """Return a new supervisor below this one."""
+    def add_supervisor(self, name: str) -> Supervisor:
+        """Add a supervisor below this one and return it."""
         child = Supervisor(f"{self._name}/{name}")
         self._supervisors[name] = child
         return child
 
-    def end(self, name: str) -> None:
-        """End a child if it runs."""
+    def cancel_child(self, name: str) -> None:
+        """Cancel a child if it is running."""
         task = self._children.pop(name, None)
         if task is not None:
             task.cancel()
 
     async def stop(self) -> None:
-        """End everything below, the youngest first."""
+        """Stop all supervisors below this one, then all children, newest first."""
         for child in reversed(list(self._supervisors.values())):
             await child.stop()
         self._supervisors.clear()
@@ -69,13 +72,13 @@
         others = [task for task in tasks if task is not current]
         await asyncio.gather(*others, return_exceptions=True)
 
-    async def remove(self, name: str) -> None:
-        """End a supervisor below this one."""
+    async def remove_supervisor(self, name: str) -> None:
+        """Remove a supervisor below this one and stop it."""
         child = self._supervisors.pop(name, None)
         if child is not None:
             await child.stop()
 
-    async def _keep_running(self, name: str, main: ChildMain) -> None:
+    async def _run_with_restarts(self, name: str, main: ChildMain) -> None:
         delay_s = RESTART_DELAY_S
         while True:
             try:
@@ -92,6 +95,6 @@
                 await asyncio.sleep(delay_s)
                 delay_s = min(2 * delay_s, MAX_RESTART_DELAY_S)
 
-    def _forget(self, name: str, task: asyncio.Task[None]) -> None:
+    def _discard_child(self, name: str, task: asyncio.Task[None]) -> None:
         if self._children.get(name) is task:
             del self._children[name]
