--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -22,14 +22,14 @@
     Resources,
 )
 from fuchsiadale.decision.views import PartitionView
-from fuchsiadale.entry.answers import json_answer, refusal_answer
 from fuchsiadale.entry.config_driver import ConfigDriver
 from fuchsiadale.entry.directory import Directory
+from fuchsiadale.entry.responses import json_response, refusal_response
 from fuchsiadale.entry.router import Router
 from fuchsiadale.metrics import MemoryCounters
 
-PREFIX = "/admin/v1"
-MAX_VERSION = 1 << 40
+PATH_PREFIX = "/admin/v1"
+MAX_CONFIG_VERSION = 1 << 40
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -68,23 +68,23 @@
     def add_routes(self, app: web.Application) -> None:
         """Add the interface to an application."""
         app.middlewares.append(self._require_key)
-        app.router.add_get(f"{PREFIX}/config", self._show_config)
-        app.router.add_put(f"{PREFIX}/config", self._apply_config)
-        app.router.add_post(f"{PREFIX}/keys", self._create_key)
-        app.router.add_delete(f"{PREFIX}/keys/{{key_id}}", self._withdraw_key)
-        app.router.add_get(f"{PREFIX}/teams/{{team}}", self._show_team)
-        app.router.add_get(f"{PREFIX}/partitions", self._list_partitions)
-        app.router.add_get(f"{PREFIX}/workers", self._list_workers)
-        app.router.add_get(f"{PREFIX}/counters", self._show_counters)
+        app.router.add_get(f"{PATH_PREFIX}/config", self._show_config)
+        app.router.add_put(f"{PATH_PREFIX}/config", self._apply_config)
+        app.router.add_post(f"{PATH_PREFIX}/keys", self._create_key)
+        app.router.add_delete(f"{PATH_PREFIX}/keys/{{key_id}}", self._withdraw_key)
+        app.router.add_get(f"{PATH_PREFIX}/teams/{{team}}", self._show_team)
+        app.router.add_get(f"{PATH_PREFIX}/partitions", self._list_partitions)
+        app.router.add_get(f"{PATH_PREFIX}/workers", self._list_workers)
+        app.router.add_get(f"{PATH_PREFIX}/counters", self._show_counters)
 
     @web.middleware
     async def _require_key(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        if not request.path.startswith(PREFIX) or self._is_operator(request):
+        if not request.path.startswith(PATH_PREFIX) or self._is_operator(request):
             return await handler(request)
         message = "an operator's key is needed: Authorization: Bearer <key>"
-        return refusal_answer(Refusal(ErrorKind.UNAUTHENTICATED, message))
+        return refusal_response(Refusal(ErrorKind.UNAUTHENTICATED, message))
 
     def _is_operator(self, request: web.Request) -> bool:
         _, _, key = request.headers.get("Authorization", "").partition(" ")
@@ -100,7 +100,7 @@
             {"key_id": key_id, "team": record.team}
             for key_id, record in sorted(document.keys.items())
         ]
-        return json_answer(
+        return json_response(
             {
                 "version": document.version,
                 "age_s": round(self._config.freshness.age_s(), 3),
@@ -112,40 +112,42 @@
     async def _apply_config(self, request: web.Request) -> web.Response:
         reader = await _read(request)
         if isinstance(reader, Err):
-            return refusal_answer(reader.err_value)
+            return refusal_response(reader.err_value)
         fields, problems = reader.ok_value, reader.ok_value.problems
         base_version = None
         if fields.has("base_version"):
-            base_version = fields.reader.integer("base_version", 0, 0, MAX_VERSION)
+            base_version = fields.reader.integer(
+                "base_version", 0, 0, MAX_CONFIG_VERSION
+            )
         files = _source_files(fields)
         fields.reader.finish()
         if problems:
-            return refusal_answer(_malformed(problems))
-        changed = await self._config.change_folder(files, base_version)
+            return refusal_response(_malformed(problems))
+        changed = await self._config.replace_from_files(files, base_version)
         if isinstance(changed, Err):
-            return refusal_answer(changed.err_value)
-        return json_answer({"version": changed.ok_value.version})
+            return refusal_response(changed.err_value)
+        return json_response({"version": changed.ok_value.version})
 
     async def _create_key(self, request: web.Request) -> web.Response:
         reader = await _read(request)
         if isinstance(reader, Err):
-            return refusal_answer(reader.err_value)
+            return refusal_response(reader.err_value)
         team = reader.ok_value.reader.name("team")
         reader.ok_value.reader.finish()
         if reader.ok_value.problems:
-            return refusal_answer(_malformed(reader.ok_value.problems))
+            return refusal_response(_malformed(reader.ok_value.problems))
         key = await self._config.create_key(team)
         if isinstance(key, Err):
-            return refusal_answer(key.err_value)
+            return refusal_response(key.err_value)
         shown = {"key_id": key.ok_value.key_id, "team": team, "key": key.ok_value.text}
-        return json_answer(shown, 201)
+        return json_response(shown, 201)
 
     async def _withdraw_key(self, request: web.Request) -> web.Response:
         key_id = request.match_info["key_id"]
         changed = await self._config.withdraw_key(key_id)
         if isinstance(changed, Err):
-            return refusal_answer(changed.err_value)
-        return json_answer({"version": changed.ok_value.version, "withdrawn": key_id})
+            return refusal_response(changed.err_value)
+        return json_response({"version": changed.ok_value.version, "withdrawn": key_id})
 
     async def _show_team(self, request: web.Request) -> web.Response:
         name = request.match_info["team"]
@@ -153,7 +155,7 @@
         team = document.configuration.teams.get(name)
         if team is None:
             message = f"there is no team {name!r}"
-            return refusal_answer(Refusal(ErrorKind.NOT_FOUND, message))
+            return refusal_response(Refusal(ErrorKind.NOT_FOUND, message))
         used = NO_RESOURCES
         granted = NO_RESOURCES
         for partition in await self._router.inspect_all():
@@ -162,7 +164,7 @@
                     used = used + view.used
                     granted = granted + (view.grant or NO_RESOURCES)
         is_limited = team.limit != NO_LIMIT
-        return json_answer(
+        return json_response(
             {
                 "team": name,
                 "share": team.share,
@@ -179,7 +181,7 @@
             _partition_fields(name, owner.member, owner.epoch, views.get(name))
             for name, owner in sorted(self._directory.owners.items())
         ]
-        return json_answer({"partitions": rows})
+        return json_response({"partitions": rows})
 
     async def _list_workers(self, request: web.Request) -> web.Response:
         rows = [
@@ -195,10 +197,10 @@
             for view in await self._router.inspect_all()
             for worker in view.workers
         ]
-        return json_answer({"workers": rows})
+        return json_response({"workers": rows})
 
     async def _show_counters(self, request: web.Request) -> web.Response:
-        return json_answer({"counters": dict(sorted(self._counters.counts.items()))})
+        return json_response({"counters": dict(sorted(self._counters.counts.items()))})
 
 
 class _Fields:
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -15,20 +15,20 @@
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.views import WorkView
 from fuchsiadale.decision.work import Submission, WorkKind
-from fuchsiadale.entry.answers import (
+from fuchsiadale.entry.config_driver import ConfigDriver
+from fuchsiadale.entry.responses import (
     job_fields,
-    json_answer,
-    refusal_answer,
-    request_answer,
+    json_response,
+    refusal_response,
+    request_response,
 )
-from fuchsiadale.entry.config_driver import ConfigDriver
 from fuchsiadale.entry.router import Router
-from fuchsiadale.entry.submission import Caller, read_submission
+from fuchsiadale.entry.submission import Caller, parse_submission
 from fuchsiadale.ids import IdSource
 from fuchsiadale.metrics import Counters
 
 MAX_BODY_BYTES = 2 * MAX_PAYLOAD_BYTES
-MAX_WAIT_S = 60.0
+MAX_JOB_WAIT_S = 60.0
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 
 
@@ -87,7 +87,7 @@
         view = await self._router.run_request(submission.ok_value)
         if isinstance(view, Err):
             return self._refuse(view.err_value, submission.ok_value.work_id)
-        return request_answer(view.ok_value)
+        return request_response(view.ok_value)
 
     async def _submit_job(self, request: web.Request) -> web.Response:
         submission = await self._read_submission(request, None)
@@ -97,7 +97,7 @@
         if isinstance(work_id, Err):
             return self._refuse(work_id.err_value, submission.ok_value.work_id)
         headers = {"Location": f"/v1/jobs/{work_id.ok_value}"}
-        return json_answer({"work_id": work_id.ok_value}, 201, headers)
+        return json_response({"work_id": work_id.ok_value}, 201, headers)
 
     async def _read_submission(
         self, request: web.Request, kind: WorkKind | None
@@ -109,7 +109,7 @@
         body = await _read_body(request)
         if isinstance(body, Err):
             return body
-        return read_submission(
+        return parse_submission(
             body.ok_value,
             kind,
             admitted.ok_value.caller,
@@ -124,7 +124,7 @@
         views = await self._router.list_team(team.ok_value)
         if isinstance(views, Err):
             return self._refuse(views.err_value)
-        return json_answer({"jobs": [job_fields(view) for view in views.ok_value]})
+        return json_response({"jobs": [job_fields(view) for view in views.ok_value]})
 
     async def _show_job(self, request: web.Request) -> web.Response:
         hold_s = _wait_of(request)
@@ -133,7 +133,7 @@
         view = await self._find_job(request, hold_s.ok_value)
         if isinstance(view, Err):
             return self._refuse(view.err_value)
-        return json_answer(job_fields(view.ok_value))
+        return json_response(job_fields(view.ok_value))
 
     async def _cancel_job(self, request: web.Request) -> web.Response:
         view = await self._find_job(request, 0.0)
@@ -144,7 +144,7 @@
         cancelled = await self._router.cancel_job(work_id, reason)
         if isinstance(cancelled, Err):
             return self._refuse(cancelled.err_value, work_id)
-        return json_answer(job_fields(cancelled.ok_value))
+        return json_response(job_fields(cancelled.ok_value))
 
     async def _find_job(
         self, request: web.Request, hold_s: float
@@ -165,7 +165,7 @@
 
     async def _show_openapi(self, request: web.Request) -> web.Response:
         text = files("fuchsiadale.entry").joinpath("openapi.json").read_text("utf-8")
-        return json_answer(json.loads(text))
+        return json_response(json.loads(text))
 
     def _admit(self, request: web.Request) -> Result[_Admitted, Refusal]:
         """Check the caller's rights on the queue that the path names."""
@@ -222,7 +222,7 @@
 
     def _refuse(self, refusal: Refusal, work_id: str = "") -> web.Response:
         self._counters.add(f"answered.{refusal.kind.value}")
-        return refusal_answer(refusal, work_id)
+        return refusal_response(refusal, work_id)
 
 
 async def _read_body(request: web.Request) -> Result[bytes, Refusal]:
@@ -239,7 +239,7 @@
         wait_s = float(text)
     except ValueError:
         wait_s = -1.0
-    if not 0.0 <= wait_s <= MAX_WAIT_S:
-        message = f"wait_s: must be a number from 0 to {MAX_WAIT_S:g}"
+    if not 0.0 <= wait_s <= MAX_JOB_WAIT_S:
+        message = f"wait_s: must be a number from 0 to {MAX_JOB_WAIT_S:g}"
         return Err(Refusal(ErrorKind.MALFORMED, message))
     return Ok(wait_s)
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -35,7 +35,7 @@
     Write,
 )
 
-CONFIG_POLL_S = 1.0
+CONFIG_POLL_PERIOD_S = 1.0
 
 _EMPTY = ConfigDocument(0, Configuration())
 
@@ -87,7 +87,7 @@
         """Poll, for ever."""
         while True:
             await self.poll()
-            await asyncio.sleep(CONFIG_POLL_S)
+            await asyncio.sleep(CONFIG_POLL_PERIOD_S)
 
     async def poll(self) -> None:
         """Ask the store once for the version in force."""
@@ -111,7 +111,7 @@
         log_message("config_applied", version=document.version)
         self._on_applied(document)
 
-    async def change_folder(
+    async def replace_from_files(
         self, files: Sequence[SourceFile], base_version: int | None
     ) -> Result[ConfigDocument, Refusal]:
         """Replace the folder's part of the configuration.
--- a/src/fuchsiadale/entry/daemon.py
+++ b/src/fuchsiadale/entry/daemon.py
@@ -7,9 +7,9 @@
 from fuchsiadale.backend.http import HttpBackendConnector
 from fuchsiadale.config.settings import Settings
 from fuchsiadale.entry.admin_api import AdminApi
-from fuchsiadale.entry.answers import json_answer
 from fuchsiadale.entry.callers_api import MAX_BODY_BYTES, CallersApi
 from fuchsiadale.entry.node import EntryNode, Platform
+from fuchsiadale.entry.responses import json_response
 from fuchsiadale.peers.client import GrpcPeerConnector
 from fuchsiadale.peers.service import PeerServer
 from fuchsiadale.ports.http import (
@@ -87,11 +87,11 @@
     ).add_routes(app)
 
     async def answer_health(request: web.Request) -> web.Response:
-        return json_answer({"member": node.member})
+        return json_response({"member": node.member})
 
     async def answer_readiness(request: web.Request) -> web.Response:
         status = 200 if node.is_ready else 503
-        return json_answer({"ready": node.is_ready}, status)
+        return json_response({"ready": node.is_ready}, status)
 
     app.router.add_get("/healthz", answer_health)
     app.router.add_get("/readyz", answer_readiness)
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -19,7 +19,7 @@
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.entry.ownership_driver import OwnershipDriver
 from fuchsiadale.entry.peer_set import PeerSet
-from fuchsiadale.entry.workers_driver import WorkerList
+from fuchsiadale.entry.worker_list import WorkerList
 from fuchsiadale.metrics import Counters
 from fuchsiadale.peers.gateway import Peer
 from fuchsiadale.peers.peer_pb2 import GossipReply, GossipRequest, TeamUse
@@ -78,10 +78,10 @@
     async def run(self) -> None:
         """Gossip, for ever."""
         while True:
-            await self.round()
+            await self.run_round()
             await asyncio.sleep(GOSSIP_PERIOD_S)
 
-    async def round(self) -> None:
+    async def run_round(self) -> None:
         """Exchange once with every peer."""
         await self._peers.update()
         self._config.freshness.set_member_count(len(self._directory.members))
@@ -96,7 +96,7 @@
         )
         self._apply_totals()
 
-    def answer(self, request: GossipRequest) -> GossipReply:
+    def handle_request(self, request: GossipRequest) -> GossipReply:
         """Answer a peer's gossip."""
         if request.partition_released:
             self._ownership.wake()
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -32,9 +32,9 @@
     transact_with_readback,
 )
 
-GRANT_PERIOD_S = 0.1
-IDLE_GRANT_S = 10.0
-REFUSED_GRANT_DELAY_S = 1.0
+GRANT_UPDATE_PERIOD_S = 0.1
+IDLE_GRANT_RETURN_DELAY_S = 10.0
+GRANT_RETRY_DELAY_S = 1.0
 
 
 @define
@@ -89,10 +89,10 @@
     async def run(self) -> None:
         """Serve every partition, for ever."""
         while True:
-            await self.serve()
-            await asyncio.sleep(GRANT_PERIOD_S)
+            await self.update_grants()
+            await asyncio.sleep(GRANT_UPDATE_PERIOD_S)
 
-    def prepare(self, driver: PartitionDriver) -> None:
+    def add_partition(self, driver: PartitionDriver) -> None:
         """Let a partition run nothing of limited teams before their rows are read."""
         self._partitions[driver] = _Teams()
         for name, team in self._document().configuration.teams.items():
@@ -100,7 +100,7 @@
             if team.limit != NO_LIMIT:
                 driver.partition.scheduler.set_grant(name, NO_RESOURCES)
 
-    def config_applied(self) -> None:
+    def handle_config_change(self) -> None:
         """Take changed shares, and teams that have a limit only now."""
         for driver in self._drivers().values():
             scheduler = driver.partition.scheduler
@@ -112,7 +112,7 @@
                     scheduler.set_grant(name, NO_RESOURCES)
             driver.kick()
 
-    async def serve(self) -> None:
+    async def update_grants(self) -> None:
         """Look once at every partition and every team that is active there."""
         drivers = self._drivers()
         current = set(drivers.values())
@@ -192,7 +192,7 @@
         before = held.grant
         await self._change(driver, name, held, team.limit, version, change)
         if not wanted.fits_in(held.grant):
-            held.retry_at_s = self._clock.now() + REFUSED_GRANT_DELAY_S
+            held.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
             self._counters.add("limited.team")
         if held.grant != before:
             driver.kick()
@@ -227,7 +227,7 @@
         now_s = self._clock.now()
         if held.idle_since_s is None:
             held.idle_since_s = now_s
-        if now_s - held.idle_since_s >= IDLE_GRANT_S:
+        if now_s - held.idle_since_s >= IDLE_GRANT_RETURN_DELAY_S:
             held.idle_since_s = None
             await self._lower(driver, name, held, keep)
 
@@ -243,7 +243,7 @@
         """Change a team's row by compare-and-swap and take the outcome."""
         read = await self._table.read(team_grants_key(name))
         if isinstance(read, Err):
-            held.retry_at_s = self._clock.now() + REFUSED_GRANT_DELAY_S
+            held.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
             return
         stored = read.ok_value
         row = TeamGrants(limit, version)
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -20,7 +20,7 @@
 from fuchsiadale.entry.journal import Journal
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.entry.recovery import RecordedState
-from fuchsiadale.entry.workers_driver import WorkerList
+from fuchsiadale.entry.worker_list import WorkerList
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
     Condition,
@@ -112,7 +112,7 @@
         pool = configuration.pools.get(self.pool)
         if pool is None:
             return
-        listed = self._worker_list.of_partition(
+        listed = self._worker_list.list_partition_workers(
             self.pool, pool.slices, self.driver.name
         )
         charged = self.driver.partition.ledger.workers
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -13,7 +13,7 @@
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.peers.gateway import Gateway
 
-Drivers = Callable[[], dict[str, PartitionDriver]]
+DriversGetter = Callable[[], dict[str, PartitionDriver]]
 
 
 class LocalGateway(Gateway):
@@ -25,7 +25,7 @@
         Returns the drivers by partition.
     """
 
-    def __init__(self, drivers: Drivers) -> None:
+    def __init__(self, drivers: DriversGetter) -> None:
         self._drivers = drivers
 
     async def submit(
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -28,7 +28,7 @@
 from fuchsiadale.entry.peer_set import PeerSet
 from fuchsiadale.entry.recovery import RecordedState
 from fuchsiadale.entry.router import Router
-from fuchsiadale.entry.workers_driver import WorkerList
+from fuchsiadale.entry.worker_list import WorkerList
 from fuchsiadale.ids import IdSource, RandomIds
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.metrics import MemoryCounters, StatsdCounters
@@ -210,7 +210,7 @@
         self._router = Router(
             self._identity,
             self._directory,
-            lambda owner: self._peers.find(owner),
+            lambda owner: self._peers.find_gateway(owner),
             self._clock,
             self.counters,
         )
@@ -235,7 +235,7 @@
             self.counters,
         )
         self.peer_service = PeerService(
-            self._local, self._outboxes, self._gossip.answer
+            self._local, self._outboxes, self._gossip.handle_request
         )
 
     def _build_membership(self, table: ObservedTable) -> None:
@@ -281,7 +281,7 @@
             lambda: self._config.document,
             lambda: self._ownership.drivers,
         )
-        self._directory.on_change = self._router.owners_changed
+        self._directory.on_change = self._router.handle_owner_change
 
     def _send_result(
         self, member: str, work: Work, delivered: Callable[[], None]
@@ -299,13 +299,13 @@
     async def _give_up_partitions(self) -> None:
         await self._ownership.drop_all()
         self._journal.restart()
-        self._router.identity_changed()
+        self._router.handle_identity_change()
 
     def _partition_taken(self, driver: PartitionDriver) -> None:
-        self._grants.prepare(driver)
+        self._grants.add_partition(driver)
 
     def _config_applied(self, document: ConfigDocument) -> None:
-        self._grants.config_applied()
+        self._grants.handle_config_change()
         for name, driver in self._ownership.drivers.items():
             pool = document.configuration.pools.get(name.rpartition(".")[0])
             if pool is not None:
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -29,7 +29,7 @@
 from fuchsiadale.entry.partition_driver import PartitionDriver
 from fuchsiadale.entry.partition_tools import PartitionTools
 from fuchsiadale.entry.recovery import RecordedState
-from fuchsiadale.entry.workers_driver import WorkerList
+from fuchsiadale.entry.worker_list import WorkerList
 from fuchsiadale.ports.table import (
     ABSENT_VERSION,
     Condition,
@@ -296,7 +296,7 @@
     ) -> PartitionRow:
         segment = JournalSegment(self._identity.member, self._tools.journal.next_number)
         if row is None:
-            listed = self._worker_list.of_partition(pool, config.slices, name)
+            listed = self._worker_list.list_partition_workers(pool, config.slices, name)
             witnesses = tuple(sorted(info.name for info in listed))
             return PartitionRow(
                 self._identity.member, epoch, witnesses, segments=(segment,)
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -362,18 +362,18 @@
     def _send_start(self, attempt: Attempt) -> None:
         driver = self._workers.get(attempt.worker)
         if driver is not None:
-            driver.start(attempt)
+            driver.enqueue_start(attempt)
 
     def _send_stop(self, order: StopOrder) -> None:
         driver = self._workers.get(order.worker)
         if driver is not None:
-            driver.stop(order)
+            driver.enqueue_stop(order)
 
     def _acknowledge(self, acknowledgements: list[Acknowledgement]) -> None:
         for acknowledgement in acknowledgements:
             driver = self._workers.get(acknowledgement.worker)
             if driver is not None:
-                driver.acknowledge(acknowledgement.attempt_id)
+                driver.enqueue_acknowledgement(acknowledgement.attempt_id)
 
     def _finish(self, work: Work) -> None:
         work_id = work.submission.work_id
--- a/src/fuchsiadale/entry/peer_set.py
+++ b/src/fuchsiadale/entry/peer_set.py
@@ -57,7 +57,7 @@
         """The peers, by member."""
         return self._clients
 
-    def find(self, owner: Owner) -> Gateway | None:
+    def find_gateway(self, owner: Owner) -> Gateway | None:
         """Return the gateway to an owner."""
         if owner.member == self._identity.member:
             return self._local
--- a/src/fuchsiadale/entry/answers.py
+++ b/src/fuchsiadale/entry/responses.py
@@ -27,7 +27,7 @@
             self.fields[name] = value
 
 
-def refusal_answer(refusal: Refusal, work_id: str = "") -> web.Response:
+def refusal_response(refusal: Refusal, work_id: str = "") -> web.Response:
     """Return the answer that the table gives for a refusal."""
     answer = refusal.error_response
     body = JsonBody(
@@ -39,23 +39,23 @@
     headers: dict[str, str] = {}
     if answer.retry_after_s is not None:
         headers["Retry-After"] = str(answer.retry_after_s)
-    return json_answer(body.fields, answer.http_status, headers)
+    return json_response(body.fields, answer.http_status, headers)
 
 
-def request_answer(view: WorkView) -> web.Response:
+def request_response(view: WorkView) -> web.Response:
     """Return the answer to a request whose outcome is known."""
     task = view.tasks[0]
     if task.state is not TaskState.SUCCEEDED:
         default = Refusal(ErrorKind.INTERNAL, f"the task ended {task.state.value}")
-        return refusal_answer(view.refusal or default, view.work_id)
+        return refusal_response(view.refusal or default, view.work_id)
     if task.is_omitted:
         message = "the work ran; its answer was too large to be kept"
         refusal = Refusal(ErrorKind.ANSWER_LOST, message)
-        return refusal_answer(refusal, view.work_id)
+        return refusal_response(refusal, view.work_id)
     body = JsonBody({"work_id": view.work_id, "outcome": ExecutionOutcome.RAN.value})
     body.add("worker", task.worker)
     _add_answer(body, task.answer)
-    return json_answer(body.fields)
+    return json_response(body.fields)
 
 
 def job_fields(view: WorkView) -> dict[str, object]:
@@ -72,7 +72,7 @@
     return body.fields
 
 
-def json_answer(
+def json_response(
     fields: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
     """Return a JSON answer."""
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -22,15 +22,15 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.peers.gateway import Gateway
 
-OWNER_WAIT_S = 0.2
-JOB_DEADLINE_S = 10.0
-SHOW_DEADLINE_S = 5.0
+OWNER_CHANGE_WAIT_S = 0.2
+JOB_SUBMISSION_TIMEOUT_S = 10.0
+OWNER_CALL_TIMEOUT_S = 5.0
 
 _NOTHING_TAKEN_IN = frozenset(
     {ErrorKind.NOT_OWNER, ErrorKind.NO_OWNER, ErrorKind.DRAINING}
 )
 
-Question = Awaitable[Result[WorkView, Refusal]]
+PendingView = Awaitable[Result[WorkView, Refusal]]
 GatewayFinder = Callable[[Owner], Gateway | None]
 
 
@@ -44,10 +44,10 @@
     changed: asyncio.Event = field(factory=asyncio.Event)
 
 
-def new_work_id(pool: str, slices: int, team: str, key: str, unique: str) -> str:
+def new_work_id(pool: str, slices: int, team: str, key: str, unique_id: str) -> str:
     """Return an id for work, in the slice that its key or else `unique` selects."""
-    index = slice_index_of(f"{team}/{key}" if key else unique, slices)
-    return f"{partition_name(pool, index)}.{unique}"
+    index = slice_index_of(f"{team}/{key}" if key else unique_id, slices)
+    return f"{partition_name(pool, index)}.{unique_id}"
 
 
 class Router:
@@ -96,7 +96,7 @@
             waiter.view = view
             waiter.changed.set()
 
-    def owners_changed(self) -> None:
+    def handle_owner_change(self) -> None:
         """Wake those whose work has a new owner."""
         for waiters in self._waiters.values():
             for waiter in waiters:
@@ -104,7 +104,7 @@
                 if owner is not None and owner.epoch != waiter.epoch:
                     waiter.changed.set()
 
-    def identity_changed(self) -> None:
+    def handle_identity_change(self) -> None:
         """Let every submission be repeated under the new member's name."""
         for waiters in self._waiters.values():
             for waiter in waiters:
@@ -125,7 +125,7 @@
 
     async def submit_job(self, submission: Submission) -> Result[str, Refusal]:
         """Submit a job and return its id once it is on record."""
-        give_up_s = self._clock.now() + JOB_DEADLINE_S
+        give_up_s = self._clock.now() + JOB_SUBMISSION_TIMEOUT_S
         last = Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
         may_be_accepted = False
         while self._clock.now() < give_up_s:
@@ -141,7 +141,7 @@
                 elif last.kind not in _NOTHING_TAKEN_IN and not may_be_accepted:
                     return outcome
                 self._counters.add(f"router.retried.{last.kind.value}")
-            await self._directory.wait_for_change(OWNER_WAIT_S)
+            await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
         if may_be_accepted:
             message = f"job {submission.work_id} may be on record; ask for it later"
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
@@ -199,7 +199,7 @@
                 waiter.may_be_accepted = True
             elif refusal.kind not in _NOTHING_TAKEN_IN and not waiter.may_be_accepted:
                 return Err(refusal)
-            await self._directory.wait_for_change(OWNER_WAIT_S)
+            await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
 
     async def _submit(self, waiter: _Waiter) -> Refusal | None:
         """Submit once, unless the present owner already has the work."""
@@ -260,10 +260,10 @@
         return None
 
     async def _ask(
-        self, work_id: str, call: Callable[[Gateway], Question]
+        self, work_id: str, call: Callable[[Gateway], PendingView]
     ) -> Result[WorkView, Refusal]:
         """Ask the owner of some work, and again while the owner changes."""
-        give_up_s = self._clock.now() + SHOW_DEADLINE_S
+        give_up_s = self._clock.now() + OWNER_CALL_TIMEOUT_S
         if "." not in partition_of_work_id(work_id):
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         last = Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
@@ -276,7 +276,7 @@
                 last = outcome.err_value
                 if last.kind not in _NOTHING_TAKEN_IN:
                     return outcome
-            await self._directory.wait_for_change(OWNER_WAIT_S)
+            await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
         return Err(last)
 
     def _owner_of(self, work_id: str) -> Owner | None:
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -33,8 +33,8 @@
 MAX_CONNECTIONS = 1024
 MAX_DEADLINE_S = 3600.0
 DEFAULT_DEADLINE_S = 30.0
-MAX_RUN_S = 30 * 86400.0
-MAX_KEY_LENGTH = 128
+MAX_DECLARED_RUN_S = 30 * 86400.0
+MAX_IDEMPOTENCY_KEY_LENGTH = 128
 
 
 @frozen
@@ -56,7 +56,7 @@
     idempotency_key: str = ""
 
 
-def read_submission(
+def parse_submission(
     body: bytes,
     kind: WorkKind | None,
     caller: Caller,
@@ -83,8 +83,10 @@
     Result
         The submission, or a refusal that names every field that is wrong.
     """
-    if len(caller.idempotency_key) > MAX_KEY_LENGTH:
-        message = f"Idempotency-Key is longer than {MAX_KEY_LENGTH} characters"
+    if len(caller.idempotency_key) > MAX_IDEMPOTENCY_KEY_LENGTH:
+        message = (
+            f"Idempotency-Key is longer than {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
+        )
         return Err(Refusal(ErrorKind.MALFORMED, message))
     parsed = parse_json(body)
     if isinstance(parsed, Err):
@@ -108,7 +110,7 @@
         idempotent=reader.boolean("idempotent", kind is not WorkKind.REQUEST),
         key=caller.idempotency_key,
         deadline_s=reader.number("timeout_s", DEFAULT_DEADLINE_S, 0.05, MAX_DEADLINE_S),
-        declared_run_s=reader.number("run_s", 0.0, 0.0, MAX_RUN_S),
+        declared_run_s=reader.number("run_s", 0.0, 0.0, MAX_DECLARED_RUN_S),
     )
     reader.finish()
     if problems:
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -65,25 +65,25 @@
 
     def __init__(
         self,
-        name: str,
+        worker_name: str,
         address: str,
-        server: BackendServer,
+        backend_server: BackendServer,
         partition: Partition,
-        reconciliation: Reconciler,
+        reconciler: Reconciler,
         clock: Clock,
         counters: Counters,
         on_change: Callback,
-        on_stale: Callback,
+        on_stale_epoch: Callback,
     ) -> None:
         self.address = address
-        self._name = name
-        self._server = server
+        self._name = worker_name
+        self._server = backend_server
         self._partition = partition
-        self._reconciliation = reconciliation
+        self._reconciliation = reconciler
         self._clock = clock
         self._counters = counters
         self._on_change = on_change
-        self._on_stale = on_stale
+        self._on_stale = on_stale_epoch
         self._outgoing = _Outgoing()
         self._ready_to_send = asyncio.Event()
         self._acknowledgements: list[str] = []
@@ -91,17 +91,17 @@
         self._echo_received_s = 0.0
         self._received_through = 0
 
-    def start(self, attempt: Attempt) -> None:
+    def enqueue_start(self, attempt: Attempt) -> None:
         """Send a start with the next batch."""
         self._outgoing.starts.append(attempt)
         self._ready_to_send.set()
 
-    def stop(self, order: StopOrder) -> None:
+    def enqueue_stop(self, order: StopOrder) -> None:
         """Send a stop with the next batch."""
         self._outgoing.stops.append(order)
         self._ready_to_send.set()
 
-    def acknowledge(self, attempt_id: str) -> None:
+    def enqueue_acknowledgement(self, attempt_id: str) -> None:
         """Let the worker forget an ended attempt with the next heartbeat."""
         self._acknowledgements.append(attempt_id)
 
--- a/src/fuchsiadale/entry/workers_driver.py
+++ b/src/fuchsiadale/entry/worker_list.py
@@ -15,7 +15,7 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.hosts import HostList
 
-HOST_LIST_PERIOD_S = 1.0
+HOST_LIST_POLL_PERIOD_S = 1.0
 
 
 @frozen
@@ -63,7 +63,9 @@
         """The capacity of all listed workers."""
         return self._capacity
 
-    def of_partition(self, pool: str, slices: int, name: str) -> list[WorkerInfo]:
+    def list_partition_workers(
+        self, pool: str, slices: int, name: str
+    ) -> list[WorkerInfo]:
         """Return the workers of one slice of a pool."""
         cut = _Cut(pool, slices)
         if cut not in self._cuts:
@@ -74,7 +76,7 @@
         """Poll the list, for ever."""
         while True:
             await self.poll()
-            await asyncio.sleep(HOST_LIST_PERIOD_S)
+            await asyncio.sleep(HOST_LIST_POLL_PERIOD_S)
 
     async def poll(self) -> None:
         """Read the list once; an unreadable list leaves the last one in force."""
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -107,7 +107,7 @@
             self.start_node(f"entry-{index}")
         first = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
-        changed = await first.config.change_folder(
+        changed = await first.config.replace_from_files(
             [SourceFile("all.yaml", self._config)], None
         )
         changed.unwrap()
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -63,8 +63,8 @@
             base = first.config.document.version
             files = [SourceFile("all.yaml", CONFIG)]
             outcomes = await asyncio.gather(
-                first.config.change_folder(files, base),
-                second.config.change_folder(files, base),
+                first.config.replace_from_files(files, base),
+                second.config.replace_from_files(files, base),
             )
             winners = [each for each in outcomes if isinstance(each, Ok)]
             losers = [each.unwrap_err() for each in outcomes if each.is_err()]
@@ -83,7 +83,7 @@
             changed = None
             for _ in range(20):
                 cluster.faults.lost_answers = 1
-                outcome = await node.config.change_folder(
+                outcome = await node.config.replace_from_files(
                     [SourceFile("all.yaml", CONFIG)], None
                 )
                 changed = outcome.unwrap()
@@ -124,7 +124,7 @@
 
             for number in range(6):
                 node = cluster.nodes["entry-0"]
-                outcome = await node.config.change_folder(
+                outcome = await node.config.replace_from_files(
                     [SourceFile("all.yaml", CONFIG)], None
                 )
                 outcome.unwrap()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -188,7 +188,7 @@
                 peak = max(peak, count_running_tasks(cluster))
             assert peak == 10
             files = [SourceFile("all.yaml", LIMITED % 4)]
-            (await entry.config.change_folder(files, None)).unwrap()
+            (await entry.config.replace_from_files(files, None)).unwrap()
             await cluster.until(lambda: count_running_tasks(cluster) <= 4, limit_s=18.0)
             for _ in range(100):
                 await asyncio.sleep(0.1)
