--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface."""
+"""The HTTP interface for operators, under ``/admin/v1``."""
 
 from __future__ import annotations
 
@@ -29,26 +29,29 @@
 from fuchsiadale.metrics import MemoryCounters
 
 PATH_PREFIX = "/admin/v1"
+# The highest configuration version that a request may name.
 MAX_CONFIG_VERSION = 1 << 40
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class AdminApi:
-    """Answers operators.
+    """Serves the HTTP interface for operators.
+
+    Every request needs an operator's key in its ``Authorization`` header.
 
     Parameters
     ----------
     config : ConfigDriver
-        The configuration.
+        Shows and changes the configuration.
     router : Router
-        Reaches the partitions' owners.
+        Fetches the views of the partitions from their owners.
     directory : Directory
-        Members and owners.
+        The owners of the partitions.
     counters : MemoryCounters
-        The counts shown.
+        The counters of this process.
     admin_key_sha256 : tuple of str
-        Digests of the operators' keys.
+        SHA-256 digests of the operators' keys, in hexadecimal.
     """
 
     def __init__(
@@ -66,7 +69,7 @@
         self._admin_key_sha256 = admin_key_sha256
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the interface to an application."""
+        """Add the routes and the check of the operator's key to an application."""
         app.middlewares.append(self._require_key)
         app.router.add_get(f"{PATH_PREFIX}/config", self._show_config)
         app.router.add_put(f"{PATH_PREFIX}/config", self._apply_config)
@@ -90,7 +93,8 @@
         _, _, key = request.headers.get("Authorization", "").partition(" ")
         digest = hashlib.sha256(key.strip().encode()).hexdigest()
         matches = [
-            hmac.compare_digest(digest, known) for known in self._admin_key_sha256
+            hmac.compare_digest(digest, known_digest)
+            for known_digest in self._admin_key_sha256
         ]
         return any(matches)
 
@@ -104,43 +108,41 @@
             {
                 "version": document.version,
                 "age_s": round(self._config.freshness.age_s(), 3),
-                "configuration": _shown(document.configuration),
+                "configuration": _configuration_fields(document.configuration),
                 "keys": keys,
             }
         )
 
     async def _apply_config(self, request: web.Request) -> web.Response:
-        reader = await _read(request)
-        if isinstance(reader, Err):
-            return refusal_response(reader.err_value)
-        fields, problems = reader.ok_value, reader.ok_value.problems
+        parsed = await _parse_body(request)
+        if isinstance(parsed, Err):
+            return refusal_response(parsed.err_value)
+        body, problems = parsed.ok_value, parsed.ok_value.problems
         base_version = None
-        if fields.has("base_version"):
-            base_version = fields.reader.integer(
-                "base_version", 0, 0, MAX_CONFIG_VERSION
-            )
-        files = _source_files(fields)
-        fields.reader.finish()
+        if body.has_field("base_version"):
+            base_version = body.reader.integer("base_version", 0, 0, MAX_CONFIG_VERSION)
+        files = _source_files(body)
+        body.reader.finish()
         if problems:
-            return refusal_response(_malformed(problems))
+            return refusal_response(_malformed_refusal(problems))
         changed = await self._config.replace_from_files(files, base_version)
         if isinstance(changed, Err):
             return refusal_response(changed.err_value)
         return json_response({"version": changed.ok_value.version})
 
     async def _create_key(self, request: web.Request) -> web.Response:
-        reader = await _read(request)
-        if isinstance(reader, Err):
-            return refusal_response(reader.err_value)
-        team = reader.ok_value.reader.name("team")
-        reader.ok_value.reader.finish()
-        if reader.ok_value.problems:
-            return refusal_response(_malformed(reader.ok_value.problems))
+        body = await _parse_body(request)
+        if isinstance(body, Err):
+            return refusal_response(body.err_value)
+        team = body.ok_value.reader.name("team")
+        body.ok_value.reader.finish()
+        if body.ok_value.problems:
+            return refusal_response(_malformed_refusal(body.ok_value.problems))
         key = await self._config.create_key(team)
         if isinstance(key, Err):
             return refusal_response(key.err_value)
-        shown = {"key_id": key.ok_value.key_id, "team": team, "key": key.ok_value.text}
-        return json_response(shown, 201)
+        fields = {"key_id": key.ok_value.key_id, "team": team, "key": key.ok_value.text}
+        return json_response(fields, 201)
 
     async def _withdraw_key(self, request: web.Request) -> web.Response:
         key_id = request.match_info["key_id"]
@@ -168,9 +170,11 @@
             {
                 "team": name,
                 "share": team.share,
-                "limit": _shown_limit(team.limit),
-                "granted": _shown_limit(granted, team.limit) if is_limited else None,
-                "used": _shown_limit(used),
+                "limit": _resource_fields(team.limit),
+                "granted": _resource_fields(granted, team.limit)
+                if is_limited
+                else None,
+                "used": _resource_fields(used),
                 "keys": [k for k, r in document.keys.items() if r.team == name],
             }
         )
@@ -190,8 +194,8 @@
                 "partition": view.name,
                 "failure_domain": worker.failure_domain,
                 "state": worker.state.value,
-                "capacity": _shown_limit(worker.capacity),
-                "free": _shown_limit(worker.free),
+                "capacity": _resource_fields(worker.capacity),
+                "free": _resource_fields(worker.free),
                 "attempts": worker.attempts,
             }
             for view in await self._router.inspect_all()
@@ -203,44 +207,57 @@
         return json_response({"counters": dict(sorted(self._counters.counts.items()))})
 
 
-class _Fields:
-    """The fields of a body and what is wrong with them."""
+class _RequestBody:
+    """The JSON body of a request.
+
+    Parameters
+    ----------
+    document : Located
+        The parsed body.
+
+    Attributes
+    ----------
+    problems : list of Problem
+        The problems that were found in the body so far.
+    reader : Reader
+        Reads the fields of the body and adds to `problems`.
+    """
 
     def __init__(self, document: Located) -> None:
         self.problems: list[Problem] = []
         self.reader = Reader(document, self.problems)
 
-    def has(self, name: str) -> bool:
-        """Tell whether a field is given."""
+    def has_field(self, name: str) -> bool:
+        """Return whether the body has a field of this name."""
         return name in (self.reader.node.fields or {})
 
 
-async def _read(request: web.Request) -> Result[_Fields, Refusal]:
+async def _parse_body(request: web.Request) -> Result[_RequestBody, Refusal]:
     parsed = parse_json(await request.read())
     if isinstance(parsed, Err):
-        return Err(_malformed(parsed.err_value))
-    return Ok(_Fields(parsed.ok_value))
+        return Err(_malformed_refusal(parsed.err_value))
+    return Ok(_RequestBody(parsed.ok_value))
 
 
-def _source_files(fields: _Fields) -> list[SourceFile]:
-    """Return the files of a body: a mapping of names to texts."""
-    inner = fields.reader.mapping("files")
-    if inner is None:
-        fields.reader.complain("is missing", "files")
+def _source_files(body: _RequestBody) -> list[SourceFile]:
+    """Return the field ``files``, a mapping of file names to texts, sorted by name."""
+    files_reader = body.reader.mapping("files")
+    if files_reader is None:
+        body.reader.complain("is missing", "files")
         return []
-    names = sorted(inner.node.fields or {})
-    return [SourceFile(name, inner.text(name)) for name in names]
+    names = sorted(files_reader.node.fields or {})
+    return [SourceFile(name, files_reader.text(name)) for name in names]
 
 
-def _malformed(problems: list[Problem]) -> Refusal:
+def _malformed_refusal(problems: list[Problem]) -> Refusal:
     lines = [f"{problem.field or 'body'}: {problem.message}" for problem in problems]
     return Refusal(ErrorKind.MALFORMED, "; ".join(lines))
 
 
-def _shown(configuration: Configuration) -> dict[str, object]:
+def _configuration_fields(configuration: Configuration) -> dict[str, object]:
     return {
         "teams": {
-            name: {"share": team.share, "limit": _shown_limit(team.limit)}
+            name: {"share": team.share, "limit": _resource_fields(team.limit)}
             for name, team in sorted(configuration.teams.items())
         },
         "pools": dict(sorted(configuration.pools.items())),
@@ -248,26 +265,27 @@
     }
 
 
-def _shown_limit(
+def _resource_fields(
     amounts: Resources, limit: Resources | None = None
 ) -> dict[str, float] | None:
-    """Return amounts in the units of the operators' folder; None for no limit.
+    """Return resources as JSON fields; None if `amounts` is unlimited.
 
-    Amounts that `limit`, or else `amounts`, leaves unlimited are not shown.
+    The fields have the names and units of the configuration files. A resource is left
+    out if `limit` does not limit it, or `amounts` if `limit` is None.
     """
     if amounts == NO_LIMIT:
         return None
-    bound = limit or amounts
-    shown: dict[str, float] = {}
-    if bound.cpu_millis < NO_LIMIT.cpu_millis:
-        shown["cores"] = amounts.cpu_millis / MILLIS_PER_CORE
-    if bound.memory_mb < NO_LIMIT.memory_mb:
-        shown["memory_gb"] = amounts.memory_mb / MB_PER_GB
-    if bound.accelerators < NO_LIMIT.accelerators:
-        shown["accelerators"] = amounts.accelerators
-    if bound.slots < NO_LIMIT.slots:
-        shown["tasks"] = amounts.slots
-    return shown
+    displayed_limit = limit or amounts
+    fields: dict[str, float] = {}
+    if displayed_limit.cpu_millis < NO_LIMIT.cpu_millis:
+        fields["cores"] = amounts.cpu_millis / MILLIS_PER_CORE
+    if displayed_limit.memory_mb < NO_LIMIT.memory_mb:
+        fields["memory_gb"] = amounts.memory_mb / MB_PER_GB
+    if displayed_limit.accelerators < NO_LIMIT.accelerators:
+        fields["accelerators"] = amounts.accelerators
+    if displayed_limit.slots < NO_LIMIT.slots:
+        fields["tasks"] = amounts.slots
+    return fields
 
 
 def _partition_fields(
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The HTTP interface for callers, under ``/v1``."""
 
 from __future__ import annotations
 
@@ -27,34 +27,44 @@
 from fuchsiadale.ids import IdSource
 from fuchsiadale.metrics import Counters
 
+# Largest HTTP body of a request; larger than a payload, which is part of the body.
 MAX_BODY_BYTES = 2 * MAX_PAYLOAD_BYTES
+# Longest time in seconds for which a call may wait for the end of a job.
 MAX_JOB_WAIT_S = 60.0
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 
 
 @frozen
-class _Admitted:
-    """A caller with rights on a queue, under the configuration in force."""
+class _AuthorizedCaller:
+    """A caller that may submit work to a queue.
+
+    Attributes
+    ----------
+    caller : Caller
+        The caller.
+    configuration : Configuration
+        The configuration that was in force at the check.
+    """
 
     caller: Caller
     configuration: Configuration
 
 
 class CallersApi:
-    """Answers callers.
+    """Serves the HTTP interface for callers.
 
     Parameters
     ----------
     config : ConfigDriver
-        The configuration, with its keys.
+        The configuration in force, with the keys of the teams.
     router : Router
-        Takes work to its owners.
+        Sends calls to the owner of the work's partition.
     counters : Counters
-        Takes the counts.
+        Counts the refusals by kind.
     ids : IdSource
-        Makes the works' ids unique.
+        Makes the ids of new work unique.
     is_refusing : callable
-        Tells whether this process takes no more work.
+        Returns whether this process refuses work because it is about to stop.
     """
 
     def __init__(
@@ -72,7 +82,7 @@
         self._is_refusing = is_refusing
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the interface to an application."""
+        """Add the routes to an application."""
         app.router.add_post("/v1/queues/{queue}/requests", self._run_request)
         app.router.add_post("/v1/queues/{queue}/jobs", self._submit_job)
         app.router.add_get("/v1/jobs", self._list_jobs)
@@ -81,7 +91,7 @@
         app.router.add_get("/v1/openapi.json", self._show_openapi)
 
     async def _run_request(self, request: web.Request) -> web.Response:
-        submission = await self._read_submission(request, WorkKind.REQUEST)
+        submission = await self._parse_request(request, WorkKind.REQUEST)
         if isinstance(submission, Err):
             return self._refuse(submission.err_value)
         view = await self._router.run_request(submission.ok_value)
@@ -90,7 +100,7 @@
         return request_response(view.ok_value)
 
     async def _submit_job(self, request: web.Request) -> web.Response:
-        submission = await self._read_submission(request, None)
+        submission = await self._parse_request(request, None)
         if isinstance(submission, Err):
             return self._refuse(submission.err_value)
         work_id = await self._router.submit_job(submission.ok_value)
@@ -99,21 +109,24 @@
         headers = {"Location": f"/v1/jobs/{work_id.ok_value}"}
         return json_response({"work_id": work_id.ok_value}, 201, headers)
 
-    async def _read_submission(
+    async def _parse_request(
         self, request: web.Request, kind: WorkKind | None
     ) -> Result[Submission, Refusal]:
-        """Check the caller's rights, then read the body; a job names its kind."""
-        admitted = self._admit(request)
-        if isinstance(admitted, Err):
-            return admitted
+        """Check the caller's rights, then parse the body.
+
+        `kind` is None for a job, whose body names its kind.
+        """
+        authorized = self._authorize(request)
+        if isinstance(authorized, Err):
+            return authorized
         body = await _read_body(request)
         if isinstance(body, Err):
             return body
         return parse_submission(
             body.ok_value,
             kind,
-            admitted.ok_value.caller,
-            admitted.ok_value.configuration,
+            authorized.ok_value.caller,
+            authorized.ok_value.configuration,
             self._ids.new(),
         )
 
@@ -127,29 +140,34 @@
         return json_response({"jobs": [job_fields(view) for view in views.ok_value]})
 
     async def _show_job(self, request: web.Request) -> web.Response:
-        hold_s = _wait_of(request)
+        hold_s = _parse_wait(request)
         if isinstance(hold_s, Err):
             return self._refuse(hold_s.err_value)
-        view = await self._find_job(request, hold_s.ok_value)
+        view = await self._find_own_job(request, hold_s.ok_value)
         if isinstance(view, Err):
             return self._refuse(view.err_value)
         return json_response(job_fields(view.ok_value))
 
     async def _cancel_job(self, request: web.Request) -> web.Response:
-        view = await self._find_job(request, 0.0)
+        view = await self._find_own_job(request, 0.0)
         if isinstance(view, Err):
             return self._refuse(view.err_value)
-        reason = Refusal(ErrorKind.CANCELLED, "cancelled before it ran")
+        reason = Refusal(
+            ErrorKind.CANCELLED, "the caller cancelled the work before it ran"
+        )
         work_id = view.ok_value.work_id
         cancelled = await self._router.cancel_job(work_id, reason)
         if isinstance(cancelled, Err):
             return self._refuse(cancelled.err_value, work_id)
         return json_response(job_fields(cancelled.ok_value))
 
-    async def _find_job(
+    async def _find_own_job(
         self, request: web.Request, hold_s: float
     ) -> Result[WorkView, Refusal]:
-        """Return a job of the caller's own team."""
+        """Return a job of the caller's own team.
+
+        Waits up to `hold_s` seconds for the end of the job.
+        """
         team = self._authenticate(request)
         if isinstance(team, Err):
             return team
@@ -167,25 +185,27 @@
         text = files("fuchsiadale.entry").joinpath("openapi.json").read_text("utf-8")
         return json_response(json.loads(text))
 
-    def _admit(self, request: web.Request) -> Result[_Admitted, Refusal]:
-        """Check the caller's rights on the queue that the path names."""
-        unable = self._unable()
-        if unable is not None:
-            return Err(unable)
+    def _authorize(self, request: web.Request) -> Result[_AuthorizedCaller, Refusal]:
+        """Check that the caller may submit work to the queue that the path names."""
+        unavailable = self._check_availability()
+        if unavailable is not None:
+            return Err(unavailable)
         configuration = self._config.document.configuration
-        name = request.match_info["queue"]
-        queue = configuration.queues.get(name)
+        queue_name = request.match_info["queue"]
+        queue = configuration.queues.get(queue_name)
         if queue is None:
-            return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no queue {name!r}"))
-        team = self._team_on(queue, name, request)
+            return Err(
+                Refusal(ErrorKind.NOT_FOUND, f"there is no queue {queue_name!r}")
+            )
+        team = self._authenticate_for_queue(queue, queue_name, request)
         if isinstance(team, Err):
             return team
         idempotency_key = request.headers.get(IDEMPOTENCY_HEADER, "")
-        caller = Caller(team.ok_value, name, idempotency_key)
-        return Ok(_Admitted(caller, configuration))
+        caller = Caller(team.ok_value, queue_name, idempotency_key)
+        return Ok(_AuthorizedCaller(caller, configuration))
 
-    def _team_on(
-        self, queue: QueueConfig, name: str, request: web.Request
+    def _authenticate_for_queue(
+        self, queue: QueueConfig, queue_name: str, request: web.Request
     ) -> Result[str, Refusal]:
         if queue.open and "Authorization" not in request.headers:
             return Ok("")
@@ -193,15 +213,15 @@
         if isinstance(team, Err):
             return team
         if queue.teams and team.ok_value not in queue.teams:
-            message = f"team {team.ok_value!r} has no right to queue {name!r}"
+            message = f"team {team.ok_value!r} has no right to queue {queue_name!r}"
             return Err(Refusal(ErrorKind.FORBIDDEN, message))
         return team
 
     def _authenticate(self, request: web.Request) -> Result[str, Refusal]:
-        """Return the team whose key came with a request."""
-        unable = self._unable()
-        if unable is not None:
-            return Err(unable)
+        """Return the team whose key is in the ``Authorization`` header."""
+        unavailable = self._check_availability()
+        if unavailable is not None:
+            return Err(unavailable)
         scheme, _, key = request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() != "bearer" or not key:
             message = "a key is needed: Authorization: Bearer <key>"
@@ -212,11 +232,13 @@
             return Err(Refusal(ErrorKind.UNAUTHENTICATED, message))
         return Ok(team)
 
-    def _unable(self) -> Refusal | None:
+    def _check_availability(self) -> Refusal | None:
         if self._is_refusing():
-            return Refusal(ErrorKind.DRAINING, "this host is about to stop")
+            return Refusal(
+                ErrorKind.DRAINING, "this entry is about to stop and accepts no calls"
+            )
         if not self._config.freshness.is_fresh():
-            message = "the configuration could not be confirmed for too long"
+            message = "the configuration was not confirmed recently enough"
             return Refusal(ErrorKind.CONFIG_STALE, message)
         return None
 
@@ -233,7 +255,7 @@
         return Err(Refusal(ErrorKind.TOO_LARGE, message))
 
 
-def _wait_of(request: web.Request) -> Result[float, Refusal]:
+def _parse_wait(request: web.Request) -> Result[float, Refusal]:
     text = request.query.get("wait_s", "0")
     try:
         wait_s = float(text)
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force and changes it."""
+"""Polls the store for the configuration, applies newer versions and changes it."""
 
 from __future__ import annotations
 
@@ -35,26 +35,36 @@
     Write,
 )
 
+# Seconds between two polls of the configuration's version.
 CONFIG_POLL_PERIOD_S = 1.0
 
-_EMPTY = ConfigDocument(0, Configuration())
+_EMPTY_DOCUMENT = ConfigDocument(0, Configuration())
 
 
 class ConfigDriver:
-    """Polls the configuration's version and applies newer ones.
+    """Holds the configuration in force, keeps it current and changes it.
+
+    A document holds the configuration and the keys of the teams. The object store holds
+    each document under a name of its own. The table's head row holds the version in
+    force and the name of its document, and changes only by compare-and-swap.
 
     Parameters
     ----------
     table : TableService
-        Holds the version in force.
+        Holds the head row and a row for each version.
     objects : ObjectStore
         Holds the documents.
     clock : Clock
-        The clock.
+        Measures the age of the configuration.
     counters : Counters
-        Takes the counts.
+        Counts applied versions and failed reads.
     on_applied : callable
-        Called after a newer document was put in force.
+        Called with each newer document after it was put in force.
+
+    Attributes
+    ----------
+    freshness : ConfigFreshness
+        Tracks when the version in force was last confirmed.
     """
 
     def __init__(
@@ -70,27 +80,27 @@
         self._clock = clock
         self._counters = counters
         self._on_applied = on_applied
-        self._document = _EMPTY
+        self._document = _EMPTY_DOCUMENT
         self.freshness = ConfigFreshness(clock)
 
     @property
     def document(self) -> ConfigDocument:
-        """The document in force; version 0 before there is one."""
+        """The document in force; an empty one of version 0 before the first."""
         return self._document
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force, or None before there is one."""
+        """The configuration in force; None before the first."""
         return self._document.configuration if self._document.version else None
 
     async def run(self) -> None:
-        """Poll, for ever."""
+        """Poll the store until cancelled."""
         while True:
             await self.poll()
             await asyncio.sleep(CONFIG_POLL_PERIOD_S)
 
     async def poll(self) -> None:
-        """Ask the store once for the version in force."""
+        """Read the version in force from the store and apply it if it is newer."""
         sent_s = self._clock.now()
         head = await self._read_head()
         if isinstance(head, Err):
@@ -99,11 +109,11 @@
         if head.ok_value is None:
             return
         if head.ok_value.version > self._document.version:
-            await self._fetch(head.ok_value)
+            await self._fetch_and_apply(head.ok_value)
         self.freshness.record_store_answer(head.ok_value.version, sent_s)
 
     def apply(self, document: ConfigDocument) -> None:
-        """Put a document in force unless one as new is."""
+        """Put a document in force if it is newer than the one in force."""
         if not self.freshness.apply(document.version):
             return
         self._document = document
@@ -114,40 +124,47 @@
     async def replace_from_files(
         self, files: Sequence[SourceFile], base_version: int | None
     ) -> Result[ConfigDocument, Refusal]:
-        """Replace the folder's part of the configuration.
+        """Replace the configuration by that of an operator's files; the keys stay.
 
         Parameters
         ----------
         files : sequence of SourceFile
-            The folder's files in the order of their names.
+            The files, in the order of their names.
         base_version : int or None
-            The version that the operator saw; the present one if None.
+            The version that the operator's change is based on; None for any version.
+
+        Returns
+        -------
+        Result
+            The document now in force, or a refusal: ``CONFIG_INVALID`` with every
+            problem of the files, ``VERSION_CONFLICT`` if another version is in force,
+            ``STORE_UNAVAILABLE`` or ``OUTCOME_UNKNOWN``.
         """
         checked = read_configuration(files)
         if isinstance(checked, Err):
             lines = "\n".join(str(problem) for problem in checked.err_value)
             return Err(Refusal(ErrorKind.CONFIG_INVALID, lines))
-        current = await self._current(base_version)
+        current = await self._fetch_latest(base_version)
         if isinstance(current, Err):
             return current
         document = current.ok_value
         messages = check_change(document.configuration, checked.ok_value)
-        orphaned = {
+        removed_teams = {
             record.team
             for record in document.keys.values()
             if record.team not in checked.ok_value.teams
         }
         messages.extend(
-            f"teams.{team}: still has keys; withdraw them first"
-            for team in sorted(orphaned)
+            f"teams.{team}: the team still has keys; withdraw them before removing it"
+            for team in sorted(removed_teams)
         )
         if messages:
             return Err(Refusal(ErrorKind.CONFIG_INVALID, "\n".join(messages)))
         return await self._commit(evolve(document, configuration=checked.ok_value))
 
     async def create_key(self, team: str) -> Result[NewKey, Refusal]:
-        """Give a team a new key; its text cannot be shown again."""
-        current = await self._current(None)
+        """Create a key for a team; only the key's digest is stored, not its text."""
+        current = await self._fetch_latest(None)
         if isinstance(current, Err):
             return current
         document = current.ok_value
@@ -159,8 +176,8 @@
         return committed.map(lambda _: key)
 
     async def withdraw_key(self, key_id: str) -> Result[ConfigDocument, Refusal]:
-        """Take a key out of force."""
-        current = await self._current(None)
+        """Remove a key from the configuration."""
+        current = await self._fetch_latest(None)
         if isinstance(current, Err):
             return current
         document = current.ok_value
@@ -171,23 +188,23 @@
         }
         return await self._commit(evolve(document, keys=keys))
 
-    async def _current(
+    async def _fetch_latest(
         self, base_version: int | None
     ) -> Result[ConfigDocument, Refusal]:
-        """Return the document that the store holds, if it is the one expected."""
+        """Return the newest stored document; refuse if it is not `base_version`."""
         head = await self._read_head()
         if isinstance(head, Err):
             return Err(_store_unavailable())
         if head.ok_value is not None:
-            await self._fetch(head.ok_value)
+            await self._fetch_and_apply(head.ok_value)
             if self._document.version < head.ok_value.version:
                 return Err(_store_unavailable())
         if base_version is not None and base_version != self._document.version:
-            return Err(_conflict(self._document.version))
+            return Err(_version_conflict(self._document.version))
         return Ok(self._document)
 
     async def _commit(self, changed: ConfigDocument) -> Result[ConfigDocument, Refusal]:
-        """Put the next version into the store, then in force here."""
+        """Store a changed document as the next version, then put it in force here."""
         version = changed.version + 1
         document = evolve(changed, version=version)
         name = f"config/{version}-{uuid.uuid4().hex}"
@@ -197,49 +214,62 @@
         head_row = await self._table.read(CONFIG_HEAD_KEY)
         if isinstance(head_row, Err):
             return Err(_store_unavailable())
-        row = head_row.ok_value
-        held = _decode_head(row.value) if row is not None else None
-        if (held.version if held is not None else 0) != changed.version:
-            return Err(_conflict(held.version if held is not None else 0))
+        stored_row = head_row.ok_value
+        current_head = (
+            _decode_head(stored_row.value) if stored_row is not None else None
+        )
+        if (current_head.version if current_head is not None else 0) != changed.version:
+            return Err(
+                _version_conflict(
+                    current_head.version if current_head is not None else 0
+                )
+            )
         transaction = Transaction(
             writes=(
                 Write(config_version_key(version), name.encode()),
                 Write(CONFIG_HEAD_KEY, encode(ConfigHead(version, name))),
             ),
             conditions=(
-                Condition(CONFIG_HEAD_KEY, row.version if row else ABSENT_VERSION),
+                Condition(
+                    CONFIG_HEAD_KEY,
+                    stored_row.version if stored_row else ABSENT_VERSION,
+                ),
                 Condition(config_version_key(version), ABSENT_VERSION),
             ),
         )
         outcome = await self._table.transact(transaction)
         if isinstance(outcome, Err):
-            settled = await self._settle(transaction, outcome.err_value, version)
-            if isinstance(settled, Err):
-                return settled
+            resolution = await self._resolve_failed_commit(
+                transaction, outcome.err_value, version
+            )
+            if isinstance(resolution, Err):
+                return resolution
         self.apply(document)
         return Ok(document)
 
-    async def _settle(
+    async def _resolve_failed_commit(
         self, transaction: Transaction, failure: TableFailure, version: int
     ) -> Result[None, Refusal]:
-        """Learn whether a change whose answer was not "committed" took effect.
+        """Determine whether a transaction that returned a failure was committed.
 
-        The row of the version is written once and for all, so its nonce tells who
-        made that version, however much later it is read.
+        The row of a version is never changed once it is written. So its nonce shows
+        which transaction made the version, no matter how much later it is read.
         """
         if failure is TableFailure.UNAVAILABLE:
             return Err(_store_unavailable())
         found = await self._table.read(config_version_key(version))
         if isinstance(found, Err):
             message = (
-                "the answer of the store was lost; compare `config show` with"
+                "the store did not confirm the change; compare `config show` with"
                 f" version {version} before trying again"
             )
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
         row = found.ok_value
         if row is not None and row.nonce == transaction.nonce:
             return Ok(None)
-        return Err(_conflict(version) if row is not None else _store_unavailable())
+        return Err(
+            _version_conflict(version) if row is not None else _store_unavailable()
+        )
 
     async def _read_head(self) -> Result[ConfigHead | None, TableFailure]:
         row = await self._table.read(CONFIG_HEAD_KEY)
@@ -249,7 +279,7 @@
             return Ok(None)
         return Ok(_decode_head(row.ok_value.value))
 
-    async def _fetch(self, head: ConfigHead) -> None:
+    async def _fetch_and_apply(self, head: ConfigHead) -> None:
         if head.version <= self._document.version:
             return
         body = await self._objects.get(head.object_name)
@@ -267,10 +297,10 @@
 
 
 def _store_unavailable() -> Refusal:
-    message = "the store is out of reach; nothing was changed"
+    message = "the store is not reachable; nothing was changed"
     return Refusal(ErrorKind.STORE_UNAVAILABLE, message)
 
 
-def _conflict(version: int) -> Refusal:
+def _version_conflict(version: int) -> Refusal:
     message = f"another change came first; version {version} is in force"
     return Refusal(ErrorKind.VERSION_CONFLICT, message)
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -1,4 +1,4 @@
-"""Exchanges configuration versions and usage with the peers."""
+"""Exchanges configuration versions and the resource usage of teams with the peers."""
 
 from __future__ import annotations
 
@@ -24,33 +24,35 @@
 from fuchsiadale.peers.gateway import Peer
 from fuchsiadale.peers.peer_pb2 import GossipReply, GossipRequest, TeamUse
 
+# Seconds between two rounds of gossip.
 GOSSIP_PERIOD_S = 1.0
 
 
 class GossipDriver:
     """Exchanges configuration versions and team usage with every peer.
 
-    Each team has a home, the member that rendezvous hashing prefers. Members tell the
-    home what the team uses with them, and learn the total from its answer.
+    Rendezvous hashing assigns each team an aggregator, one of the members. Every member
+    reports to the aggregator what the team uses in its own partitions, and the reply
+    holds the total over all members.
 
     Parameters
     ----------
     identity : Identity
-        This member.
+        The member that this process is.
     directory : Directory
-        The members.
+        The members of the cluster.
     peers : PeerSet
-        The connections.
+        The connections to the other members.
     config : ConfigDriver
-        The configuration.
+        The configuration, which newer documents of peers update.
     ownership : OwnershipDriver
-        The partitions of this member.
+        The partitions that this member owns.
     worker_list : WorkerList
-        The fleet.
+        The capacity of all workers.
     clock : Clock
-        The clock.
+        Gives the time at which a request is sent.
     counters : Counters
-        Takes the counts.
+        Counts unanswered requests.
     """
 
     def __init__(
@@ -72,38 +74,38 @@
         self._worker_list = worker_list
         self._clock = clock
         self._counters = counters
-        self._reported: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
-        self._totals: dict[str, Resources] = {}
+        self._reported_usage: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
+        self._total_usage: dict[str, Resources] = {}
 
     async def run(self) -> None:
-        """Gossip, for ever."""
+        """Run a round of gossip in every period until cancelled."""
         while True:
             await self.run_round()
             await asyncio.sleep(GOSSIP_PERIOD_S)
 
     async def run_round(self) -> None:
-        """Exchange once with every peer."""
+        """Exchange versions and usage with every peer once."""
         await self._peers.update()
         self._config.freshness.set_member_count(len(self._directory.members))
-        self._forget_gone_members()
-        by_home = self._uses_by_home()
-        self._take_own_home(by_home.get(self._identity.member, {}))
+        self._discard_departed_members()
+        usage_by_aggregator = self._usage_by_aggregator()
+        self._record_own_usage(usage_by_aggregator.get(self._identity.member, {}))
         await asyncio.gather(
             *(
-                self._exchange(client, by_home.get(name, {}))
+                self._exchange_with(client, usage_by_aggregator.get(name, {}))
                 for name, client in list(self._peers.clients.items())
             )
         )
-        self._apply_totals()
+        self._apply_total_usage()
 
     def handle_request(self, request: GossipRequest) -> GossipReply:
-        """Answer a peer's gossip."""
+        """Process the gossip request of a peer and return the reply."""
         if request.partition_released:
             self._ownership.wake()
         totals: list[TeamUse] = []
         for use in request.uses:
-            self._reported[use.team][request.member] = _resources(use)
-            totals.append(_use(use.team, self._total_of(use.team)))
+            self._reported_usage[use.team][request.member] = _decode_use(use)
+            totals.append(_encode_use(use.team, self._sum_reports(use.team)))
         document = b""
         if request.config_version < self._config.document.version:
             document = encode(self._config.document)
@@ -117,7 +119,7 @@
         )
 
     async def announce_release(self) -> None:
-        """Tell every peer that partitions were handed over."""
+        """Inform every peer that this member has released its partitions."""
         request = GossipRequest(
             member=self._identity.member,
             config_version=self._config.document.version,
@@ -127,12 +129,12 @@
             *(client.gossip(request) for client in self._peers.clients.values())
         )
 
-    async def _exchange(self, client: Peer, uses: dict[str, Resources]) -> None:
+    async def _exchange_with(self, client: Peer, uses: dict[str, Resources]) -> None:
         sent_s = self._clock.now()
         request = GossipRequest(
             member=self._identity.member,
             config_version=self._config.document.version,
-            uses=[_use(team, used) for team, used in uses.items()],
+            uses=[_encode_use(team, used) for team, used in uses.items()],
         )
         answer = await client.gossip(request)
         if isinstance(answer, Err):
@@ -143,76 +145,81 @@
             document = decode(reply.document, ConfigDocument)
             if isinstance(document, Ok):
                 self._config.apply(document.ok_value)
-        told = PeerConfigStatus(
+        peer_status = PeerConfigStatus(
             reply.config_version, reply.config_age_s, reply.store_reachable
         )
-        self._config.freshness.record_peer_answer(client.member, told, sent_s)
+        self._config.freshness.record_peer_answer(client.member, peer_status, sent_s)
         for use in reply.totals:
-            self._totals[use.team] = _resources(use)
+            self._total_usage[use.team] = _decode_use(use)
 
-    def _uses_by_home(self) -> dict[str, dict[str, Resources]]:
-        by_home: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
+    def _usage_by_aggregator(self) -> dict[str, dict[str, Resources]]:
+        by_aggregator: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
         members = list(self._directory.members)
-        for team, used in self._own_usage().items():
-            home = preferred_member(team, members)
-            if home is not None:
-                by_home[home][team] = used
-        return by_home
-
-    def _own_usage(self) -> dict[str, Resources]:
-        """Return what each active team uses in the partitions of this member."""
+        for team, used in self._local_usage().items():
+            aggregator = preferred_member(team, members)
+            if aggregator is not None:
+                by_aggregator[aggregator][team] = used
+        return by_aggregator
+
+    def _local_usage(self) -> dict[str, Resources]:
+        """Return what each active team uses in the partitions of this member.
+
+        A team is active if it uses something here or has a known total.
+        """
         totals: dict[str, Resources] = {}
         for driver in self._ownership.drivers.values():
             for team, usage in driver.partition.scheduler.usage.items():
-                if usage.local != NO_RESOURCES or team in self._totals:
+                if usage.local != NO_RESOURCES or team in self._total_usage:
                     earlier = totals.get(team, NO_RESOURCES)
                     totals[team] = earlier + usage.local
         return totals
 
-    def _take_own_home(self, uses: dict[str, Resources]) -> None:
+    def _record_own_usage(self, uses: dict[str, Resources]) -> None:
         for team, used in uses.items():
-            self._reported[team][self._identity.member] = used
-            self._totals[team] = self._total_of(team)
+            self._reported_usage[team][self._identity.member] = used
+            self._total_usage[team] = self._sum_reports(team)
 
-    def _apply_totals(self) -> None:
-        """Tell the schedulers what teams use outside each partition."""
+    def _apply_total_usage(self) -> None:
+        """Pass to each partition's scheduler what the teams use in other partitions."""
         capacity = self._worker_list.capacity
         for driver in self._ownership.drivers.values():
             scheduler = driver.partition.scheduler
             scheduler.fleet_capacity = capacity
-            for team, total in self._totals.items():
+            for team, total in self._total_usage.items():
                 usage = scheduler.usage.get(team)
                 if usage is None:
                     continue
-                elsewhere = (total - usage.local).maximum(NO_RESOURCES)
+                remote_usage = (total - usage.local).maximum(NO_RESOURCES)
                 scheduler.set_remote_dominant_share(
-                    team, elsewhere.dominant_share(capacity)
+                    team, remote_usage.dominant_share(capacity)
                 )
-        idle = [team for team, used in self._totals.items() if used == NO_RESOURCES]
-        for team in idle:
-            del self._totals[team]
+        idle_teams = [
+            team for team, used in self._total_usage.items() if used == NO_RESOURCES
+        ]
+        for team in idle_teams:
+            del self._total_usage[team]
 
-    def _forget_gone_members(self) -> None:
+    def _discard_departed_members(self) -> None:
         members = set(self._directory.members)
-        for team, reports in list(self._reported.items()):
+        for team, reports in list(self._reported_usage.items()):
             for member in set(reports) - members:
                 del reports[member]
             if not reports:
-                del self._reported[team]
-                self._totals.pop(team, None)
+                del self._reported_usage[team]
+                self._total_usage.pop(team, None)
 
-    def _total_of(self, team: str) -> Resources:
-        return _sum(self._reported[team].values())
+    def _sum_reports(self, team: str) -> Resources:
+        return _sum_resources(self._reported_usage[team].values())
 
 
-def _sum(amounts: Iterable[Resources]) -> Resources:
+def _sum_resources(amounts: Iterable[Resources]) -> Resources:
     total = NO_RESOURCES
-    for each in amounts:
-        total = total + each
+    for amount in amounts:
+        total = total + amount
     return total
 
 
-def _use(team: str, used: Resources) -> TeamUse:
+def _encode_use(team: str, used: Resources) -> TeamUse:
     return TeamUse(
         team=team,
         cpu_millis=used.cpu_millis,
@@ -221,5 +228,5 @@
     )
 
 
-def _resources(use: TeamUse) -> Resources:
+def _decode_use(use: TeamUse) -> Resources:
     return Resources(use.cpu_millis, use.memory_mb, use.accelerators)
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -1,4 +1,4 @@
-"""Takes, returns and lowers the grants of this member's partitions."""
+"""Raises, lowers and returns the grants of the partitions that this member owns."""
 
 from __future__ import annotations
 
@@ -32,14 +32,34 @@
     transact_with_readback,
 )
 
+# Seconds between two updates of all grants.
 GRANT_UPDATE_PERIOD_S = 0.1
+# How many seconds a grant must be larger than needed before the excess is returned.
 IDLE_GRANT_RETURN_DELAY_S = 10.0
+# Seconds until the next try after a grant was too small or a row was not read.
 GRANT_RETRY_DELAY_S = 1.0
 
 
 @define
-class _Held:
-    """What is known of one partition's grant of one team."""
+class _GrantState:
+    """What is known of the grant that one partition has for one team.
+
+    Attributes
+    ----------
+    grant : Resources
+        The grant, as last read or written.
+    ceiling : Resources or None
+        The amount to which the grant must be reduced after the team's limit was
+        lowered; None if it need not be reduced.
+    is_read : bool
+        Whether the team's row has been read.
+    limit_version : int
+        Version of the configuration that set the limit in the row.
+    retry_at_s : float
+        Clock time before which the grant is not updated.
+    idle_since_s : float or None
+        Clock time since which the grant has been larger than needed; None if it is not.
+    """
 
     grant: Resources = NO_RESOURCES
     ceiling: Resources | None = None
@@ -50,25 +70,27 @@
 
 
 @define
-class _Teams:
-    held: dict[str, _Held] = field(factory=dict)
+class _PartitionGrants:
+    """What is known of the grants of one partition, by team name."""
+
+    by_team: dict[str, _GrantState] = field(factory=dict)
 
 
 class GrantsDriver:
-    """Keeps each partition's grants in step with the teams' rows.
+    """Keeps the grants of each partition and the rows of the teams consistent.
 
     Parameters
     ----------
     table : TableService
-        Holds the rows.
+        Holds the row of each team with the grants of all partitions.
     clock : Clock
-        The clock.
+        Measures the delays.
     counters : Counters
-        Takes the counts.
-    document : callable
+        Counts grants that are too small and rows that are not read or written.
+    get_document : callable
         Returns the configuration document in force.
-    drivers : callable
-        Returns the drivers of the partitions that this member owns.
+    get_drivers : callable
+        Returns the drivers of the partitions that this member owns, by partition.
     """
 
     def __init__(
@@ -76,35 +98,38 @@
         table: TableService,
         clock: Clock,
         counters: Counters,
-        document: Callable[[], ConfigDocument],
-        drivers: Callable[[], dict[str, PartitionDriver]],
+        get_document: Callable[[], ConfigDocument],
+        get_drivers: Callable[[], dict[str, PartitionDriver]],
     ) -> None:
         self._table = table
         self._clock = clock
         self._counters = counters
-        self._document = document
-        self._drivers = drivers
-        self._partitions: dict[PartitionDriver, _Teams] = {}
+        self._get_document = get_document
+        self._get_drivers = get_drivers
+        self._partitions: dict[PartitionDriver, _PartitionGrants] = {}
 
     async def run(self) -> None:
-        """Serve every partition, for ever."""
+        """Update the grants in every period until cancelled."""
         while True:
             await self.update_grants()
             await asyncio.sleep(GRANT_UPDATE_PERIOD_S)
 
     def add_partition(self, driver: PartitionDriver) -> None:
-        """Let a partition run nothing of limited teams before their rows are read."""
-        self._partitions[driver] = _Teams()
-        for name, team in self._document().configuration.teams.items():
+        """Add a partition, with empty grants for all teams that have a limit.
+
+        It runs no tasks of these teams until the rows of the teams have been read.
+        """
+        self._partitions[driver] = _PartitionGrants()
+        for name, team in self._get_document().configuration.teams.items():
             driver.partition.scheduler.set_share(name, team.share)
             if team.limit != NO_LIMIT:
                 driver.partition.scheduler.set_grant(name, NO_RESOURCES)
 
     def handle_config_change(self) -> None:
-        """Take changed shares, and teams that have a limit only now."""
-        for driver in self._drivers().values():
+        """Apply the teams' shares, and limits that are new or were removed."""
+        for driver in self._get_drivers().values():
             scheduler = driver.partition.scheduler
-            for name, team in self._document().configuration.teams.items():
+            for name, team in self._get_document().configuration.teams.items():
                 scheduler.set_share(name, team.share)
                 if team.limit == NO_LIMIT:
                     scheduler.set_grant(name, NO_LIMIT)
@@ -113,26 +138,28 @@
             driver.kick()
 
     async def update_grants(self) -> None:
-        """Look once at every partition and every team that is active there."""
-        drivers = self._drivers()
+        """Update the grants of every partition for the teams that are active there."""
+        drivers = self._get_drivers()
         current = set(drivers.values())
         self._partitions = {
-            driver: teams
-            for driver, teams in self._partitions.items()
+            driver: grants
+            for driver, grants in self._partitions.items()
             if driver in current
         }
-        document = self._document()
+        document = self._get_document()
         for driver in current:
-            teams = self._partitions.setdefault(driver, _Teams())
+            teams = self._partitions.setdefault(driver, _PartitionGrants())
             for name in self._active_teams(driver, teams):
                 team = document.configuration.teams.get(name)
                 if team is not None and team.limit != NO_LIMIT:
-                    held = teams.held.setdefault(name, _Held())
-                    await self._serve_team(driver, name, team, held, document.version)
+                    state = teams.by_team.setdefault(name, _GrantState())
+                    await self._update_team(driver, name, team, state, document.version)
 
-    def _active_teams(self, driver: PartitionDriver, teams: _Teams) -> set[str]:
+    def _active_teams(
+        self, driver: PartitionDriver, grants: _PartitionGrants
+    ) -> set[str]:
         scheduler = driver.partition.scheduler
-        active = set(teams.held)
+        active = set(grants.by_team)
         for name, allowance in scheduler.allowances.items():
             if allowance.wanted is not None:
                 active.add(name)
@@ -141,109 +168,118 @@
                 active.add(name)
         return active
 
-    async def _serve_team(
+    async def _update_team(
         self,
         driver: PartitionDriver,
         name: str,
         team: TeamConfig,
-        held: _Held,
+        state: _GrantState,
         version: int,
     ) -> None:
         now_s = self._clock.now()
-        # What a former owner started may still run where nobody has looked yet.
+        # Tasks that a former owner started may still run on workers that have not
+        # reported yet, and they count against the limit.
         if (
-            now_s < held.retry_at_s
+            now_s < state.retry_at_s
             or not driver.partition.authority.may_rerun_unreported()
         ):
             return
         scheduler = driver.partition.scheduler
         wanted = scheduler.allowances[name].wanted
         used = scheduler.usage[name].local if name in scheduler.usage else NO_RESOURCES
-        if not held.is_read or held.limit_version != version:
-            await self._raise(driver, name, team, held, version, wanted or used)
-        elif held.ceiling is not None:
+        if not state.is_read or state.limit_version != version:
+            await self._raise_grant(driver, name, team, state, version, wanted or used)
+        elif state.ceiling is not None:
             driver.partition.enforce_grant(name)
             driver.kick()
-            if used.fits_in(held.ceiling):
-                await self._lower(driver, name, held, held.ceiling)
+            if used.fits_in(state.ceiling):
+                await self._lower_grant(driver, name, state, state.ceiling)
         elif wanted is not None:
-            held.idle_since_s = None
-            await self._raise(driver, name, team, held, version, wanted)
+            state.idle_since_s = None
+            await self._raise_grant(driver, name, team, state, version, wanted)
         else:
-            await self._return_idle(driver, name, team, held, used)
+            await self._return_idle_grant(driver, name, team, state, used)
 
-    async def _raise(
+    async def _raise_grant(
         self,
         driver: PartitionDriver,
         name: str,
         team: TeamConfig,
-        held: _Held,
+        state: _GrantState,
         version: int,
         wanted: Resources,
     ) -> None:
-        """Bring the row to the limit in force and take what is wanted."""
+        """Set the limit in force in the team's row and raise the grant to `wanted`."""
 
-        def change(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
-            adopted = apply_limit(row, team.limit, version)
-            if isinstance(adopted, Err):
+        def raise_in_row(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
+            with_limit = apply_limit(row, team.limit, version)
+            if isinstance(with_limit, Err):
                 return Err(TableFailure.CONFLICT)
-            return Ok(raise_grant(adopted.ok_value, driver.name, wanted))
+            return Ok(raise_grant(with_limit.ok_value, driver.name, wanted))
 
-        before = held.grant
-        await self._change(driver, name, held, team.limit, version, change)
-        if not wanted.fits_in(held.grant):
-            held.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
+        previous_grant = state.grant
+        await self._update_row(driver, name, state, team.limit, version, raise_in_row)
+        if not wanted.fits_in(state.grant):
+            state.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
             self._counters.add("limited.team")
-        if held.grant != before:
+        if state.grant != previous_grant:
             driver.kick()
 
-    async def _lower(
-        self, driver: PartitionDriver, name: str, held: _Held, keep: Resources
+    async def _lower_grant(
+        self, driver: PartitionDriver, name: str, state: _GrantState, ceiling: Resources
     ) -> None:
-        """Give back what exceeds `keep`; the grant is lowered here first."""
-        driver.partition.scheduler.set_grant(name, keep)
+        """Lower a grant to `ceiling`, first in the scheduler and then in the row."""
+        driver.partition.scheduler.set_grant(name, ceiling)
 
-        def change(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
-            return Ok(lower_grant(row, driver.name, keep))
+        def lower_in_row(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
+            return Ok(lower_grant(row, driver.name, ceiling))
 
-        await self._change(driver, name, held, NO_LIMIT, held.limit_version, change)
+        await self._update_row(
+            driver, name, state, NO_LIMIT, state.limit_version, lower_in_row
+        )
 
-    async def _return_idle(
+    async def _return_idle_grant(
         self,
         driver: PartitionDriver,
         name: str,
         team: TeamConfig,
-        held: _Held,
+        state: _GrantState,
         used: Resources,
     ) -> None:
-        """Give back a grant that has been far above the usage for a while."""
+        """Lower a grant that has been larger than needed for the return delay.
+
+        A team in use keeps its usage and one chunk of its limit.
+        """
         reserve = team.limit.scaled_by_ratio(
             Resources(1, 1, 1, 1, 1), Resources(*[GRANT_CHUNKS_PER_LIMIT] * 5)
         )
-        keep = used + reserve if used != NO_RESOURCES else NO_RESOURCES
-        if held.grant.fits_in(keep):
-            held.idle_since_s = None
+        ceiling = used + reserve if used != NO_RESOURCES else NO_RESOURCES
+        if state.grant.fits_in(ceiling):
+            state.idle_since_s = None
             return
         now_s = self._clock.now()
-        if held.idle_since_s is None:
-            held.idle_since_s = now_s
-        if now_s - held.idle_since_s >= IDLE_GRANT_RETURN_DELAY_S:
-            held.idle_since_s = None
-            await self._lower(driver, name, held, keep)
+        if state.idle_since_s is None:
+            state.idle_since_s = now_s
+        if now_s - state.idle_since_s >= IDLE_GRANT_RETURN_DELAY_S:
+            state.idle_since_s = None
+            await self._lower_grant(driver, name, state, ceiling)
 
-    async def _change(
+    async def _update_row(
         self,
         driver: PartitionDriver,
         name: str,
-        held: _Held,
+        state: _GrantState,
         limit: Resources,
         version: int,
-        change: Callable[[TeamGrants], Result[TeamGrants, TableFailure]],
+        update: Callable[[TeamGrants], Result[TeamGrants, TableFailure]],
     ) -> None:
-        """Change a team's row by compare-and-swap and take the outcome."""
+        """Change a team's row by compare-and-swap, then apply the stored row.
+
+        `limit` and `version` fill a row that does not exist yet.
+        """
         read = await self._table.read(team_grants_key(name))
         if isinstance(read, Err):
-            held.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
+            state.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
             return
         stored = read.ok_value
         row = TeamGrants(limit, version)
@@ -253,13 +289,13 @@
                 self._counters.add("grants.unreadable")
                 return
             row = decoded.ok_value
-        changed = change(row)
-        if isinstance(changed, Err):
+        updated = update(row)
+        if isinstance(updated, Err):
             self._counters.add("grants.stale_limit")
             return
-        if changed.ok_value != row or stored is None:
+        if updated.ok_value != row or stored is None:
             transaction = Transaction(
-                writes=(Write(team_grants_key(name), encode(changed.ok_value)),),
+                writes=(Write(team_grants_key(name), encode(updated.ok_value)),),
                 conditions=(
                     Condition(
                         team_grants_key(name),
@@ -271,17 +307,17 @@
             if isinstance(outcome, Err):
                 self._counters.add(f"grants.{outcome.err_value.value}")
                 return
-        self._hold(driver, name, held, changed.ok_value)
+        self._apply_row(driver, name, state, updated.ok_value)
 
-    def _hold(
-        self, driver: PartitionDriver, name: str, held: _Held, row: TeamGrants
+    def _apply_row(
+        self, driver: PartitionDriver, name: str, state: _GrantState, row: TeamGrants
     ) -> None:
-        """Act from now on within the grant that the row surely holds."""
+        """Limit the scheduler to the grant that is certainly stored in the row."""
         grant = row.grants.get(driver.name, NO_RESOURCES)
-        held.grant = grant
-        held.ceiling = row.ceilings.get(driver.name)
-        held.is_read = True
-        held.limit_version = row.limit_version
-        if held.ceiling is not None:
-            grant = grant.minimum(held.ceiling)
+        state.grant = grant
+        state.ceiling = row.ceilings.get(driver.name)
+        state.is_read = True
+        state.limit_version = row.limit_version
+        if state.ceiling is not None:
+            grant = grant.minimum(state.ceiling)
         driver.partition.scheduler.set_grant(name, grant)
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -1,4 +1,4 @@
-"""Reaches the partitions that this process owns."""
+"""The gateway to the partitions that this process owns."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 
 
 class LocalGateway(Gateway):
-    """Reaches the partitions that this process owns.
+    """Passes calls to the partitions that this process owns.
 
     Parameters
     ----------
-    drivers : callable
-        Returns the drivers by partition.
+    get_drivers : callable
+        Returns the drivers of the owned partitions, by partition.
     """
 
-    def __init__(self, drivers: DriversGetter) -> None:
-        self._drivers = drivers
+    def __init__(self, get_drivers: DriversGetter) -> None:
+        self._get_drivers = get_drivers
 
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work for a member; return the id of the work accepted."""
-        driver = self._find(partition_of_work_id(submission.work_id))
+        """Submit work; return its id, or that of earlier work with the same key.
+
+        `reply_to` is the member whose caller waits for the result.
+        """
+        driver = self._find_driver(partition_of_work_id(submission.work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.submit(submission, reply_to)
@@ -40,15 +43,15 @@
     async def cancel(
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
-        """End work, unless the caller of another member waits for it."""
-        driver = self._find(partition_of_work_id(work_id))
+        """Cancel work, unless a caller of a member other than `member` waits for it."""
+        driver = self._find_driver(partition_of_work_id(work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.cancel(work_id, reason, member)
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
-        """Return a view of work, once it is final or `hold_s` seconds have passed."""
-        driver = self._find(partition_of_work_id(work_id))
+        """Return a view of work once it is final, or after `hold_s` seconds."""
+        driver = self._find_driver(partition_of_work_id(work_id))
         if isinstance(driver, Err):
             return driver
         return await driver.ok_value.show(work_id, hold_s)
@@ -56,16 +59,16 @@
     async def list_team(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
-        """Return views of a team's jobs in one partition."""
-        driver = self._find(partition)
+        """Return views of the jobs that a team has in one partition."""
+        driver = self._find_driver(partition)
         return driver.map(lambda found: found.list_team(team))
 
     async def inspect(self, partition: str) -> Result[PartitionView, Refusal]:
         """Return a view of a partition for operators."""
-        return self._find(partition).map(lambda found: found.inspect())
+        return self._find_driver(partition).map(lambda found: found.inspect())
 
-    def _find(self, partition: str) -> Result[PartitionDriver, Refusal]:
-        driver = self._drivers().get(partition)
+    def _find_driver(self, partition: str) -> Result[PartitionDriver, Refusal]:
+        driver = self._get_drivers().get(partition)
         if driver is None:
             message = f"this host does not own partition {partition}"
             return Err(Refusal(ErrorKind.NOT_OWNER, message))
--- a/src/fuchsiadale/entry/peer_set.py
+++ b/src/fuchsiadale/entry/peer_set.py
@@ -1,4 +1,4 @@
-"""The connections to all peers."""
+"""The connections to all other members of the cluster."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class PeerSet:
-    """The connections to all peers.
+    """Connects to every other member and fetches the results that they hold.
 
     Parameters
     ----------
     identity : Identity
-        This member.
+        The member that this process is.
     directory : Directory
-        The members.
+        The members of the cluster.
     local : LocalGateway
-        Reaches the partitions of this process.
+        The gateway to the partitions of this process.
     connector : PeerConnector
-        Connects to peers.
+        Connects to the other members.
     supervisor : Supervisor
         Runs the loops that fetch results.
     deliver : callable
-        Takes results.
-    on_gone : callable
-        Called with a member that is gone.
+        Called with each result that a peer returns.
+    on_departure : callable
+        Called with the name of each member that has left the cluster.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         connector: PeerConnector,
         supervisor: Supervisor,
         deliver: Callable[[WorkView], None],
-        on_gone: Callable[[str], None],
+        on_departure: Callable[[str], None],
     ) -> None:
         self._identity = identity
         self._directory = directory
@@ -49,40 +49,40 @@
         self._connector = connector
         self._supervisor = supervisor
         self._deliver = deliver
-        self._on_gone = on_gone
+        self._on_departure = on_departure
         self._clients: dict[str, Peer] = {}
 
     @property
     def clients(self) -> dict[str, Peer]:
-        """The peers, by member."""
+        """The connected peers, by member name."""
         return self._clients
 
     def find_gateway(self, owner: Owner) -> Gateway | None:
-        """Return the gateway to an owner."""
+        """Return the gateway to an owner; None if it is not connected."""
         if owner.member == self._identity.member:
             return self._local
         return self._clients.get(owner.member)
 
     async def update(self) -> None:
-        """Connect to new members and leave those that are gone."""
+        """Connect to new members and disconnect from those that have left."""
         members = self._directory.members
         for name, row in members.items():
             if name == self._identity.member or name in self._clients:
                 continue
             client = self._connector.connect(name, row.peer_address)
             self._clients[name] = client
-            self._start_collecting(client)
+            self._start_collecting_results(client)
         for name in set(self._clients) - set(members):
             self._supervisor.end(f"collect/{name}")
             await self._clients.pop(name).close()
-            self._on_gone(name)
+            self._on_departure(name)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         for client in self._clients.values():
             await client.close()
 
-    def _start_collecting(self, client: Peer) -> None:
+    def _start_collecting_results(self, client: Peer) -> None:
         self._supervisor.start(
             f"collect/{client.member}",
             lambda: client.collect(lambda: self._identity.member, self._deliver),
--- a/src/fuchsiadale/entry/responses.py
+++ b/src/fuchsiadale/entry/responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers to callers and operators."""
+"""HTTP responses to callers and operators."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 @define
 class JsonBody:
-    """The fields of a JSON answer, in the order in which they are shown."""
+    """The fields of a JSON response.
+
+    Attributes
+    ----------
+    fields : dict of str to object
+        The values by field name, in the order in which the response shows them.
+    """
 
     fields: dict[str, object]
 
@@ -28,38 +34,40 @@
 
 
 def refusal_response(refusal: Refusal, work_id: str = "") -> web.Response:
-    """Return the answer that the table gives for a refusal."""
-    answer = refusal.error_response
+    """Return the HTTP response for a refusal, as its error kind determines it."""
+    response = refusal.error_response
     body = JsonBody(
-        {"error": refusal.kind.value, "outcome": answer.execution_outcome.value}
+        {"error": refusal.kind.value, "outcome": response.execution_outcome.value}
     )
     body.add("message", refusal.message)
     body.add("work_id", work_id or None)
-    body.add("retry_after_s", answer.retry_after_s)
+    body.add("retry_after_s", response.retry_after_s)
     headers: dict[str, str] = {}
-    if answer.retry_after_s is not None:
-        headers["Retry-After"] = str(answer.retry_after_s)
-    return json_response(body.fields, answer.http_status, headers)
+    if response.retry_after_s is not None:
+        headers["Retry-After"] = str(response.retry_after_s)
+    return json_response(body.fields, response.http_status, headers)
 
 
 def request_response(view: WorkView) -> web.Response:
-    """Return the answer to a request whose outcome is known."""
+    """Return the response to a request whose outcome is known."""
     task = view.tasks[0]
     if task.state is not TaskState.SUCCEEDED:
-        default = Refusal(ErrorKind.INTERNAL, f"the task ended {task.state.value}")
-        return refusal_response(view.refusal or default, view.work_id)
+        fallback = Refusal(
+            ErrorKind.INTERNAL, f"the task ended in the state {task.state.value}"
+        )
+        return refusal_response(view.refusal or fallback, view.work_id)
     if task.is_omitted:
-        message = "the work ran; its answer was too large to be kept"
+        message = "the work ran, but its answer was too large to be kept"
         refusal = Refusal(ErrorKind.ANSWER_LOST, message)
         return refusal_response(refusal, view.work_id)
     body = JsonBody({"work_id": view.work_id, "outcome": ExecutionOutcome.RAN.value})
     body.add("worker", task.worker)
-    _add_answer(body, task.answer)
+    _add_answer_fields(body, task.answer)
     return json_response(body.fields)
 
 
 def job_fields(view: WorkView) -> dict[str, object]:
-    """Return the fields by which a job is shown."""
+    """Return the JSON fields that show a job and its tasks."""
     body = JsonBody({"work_id": view.work_id, "kind": view.kind.value})
     body.add("team", view.team)
     body.add("queue", view.queue)
@@ -75,7 +83,7 @@
 def json_response(
     fields: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Return a JSON answer."""
+    """Return a response with a JSON body."""
     text = json.dumps(cattrs.unstructure(fields), ensure_ascii=False)
     return web.Response(
         text=text + "\n",
@@ -93,11 +101,11 @@
     if task.is_omitted:
         body.add("answer_omitted", True)
     elif task.state is TaskState.SUCCEEDED:
-        _add_answer(body, task.answer)
+        _add_answer_fields(body, task.answer)
     return body.fields
 
 
-def _add_answer(body: JsonBody, answer: bytes) -> None:
+def _add_answer_fields(body: JsonBody, answer: bytes) -> None:
     try:
         body.add("answer", answer.decode("utf-8"))
     except UnicodeDecodeError:
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -1,4 +1,4 @@
-"""Takes callers' work to the owners of its partitions and waits for results."""
+"""Sends callers' work to the owners of its partitions and waits for the results."""
 
 from __future__ import annotations
 
@@ -22,11 +22,15 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.peers.gateway import Gateway
 
+# Seconds between two tries to reach an owner, unless an owner changes before.
 OWNER_CHANGE_WAIT_S = 0.2
+# Seconds for which the submission of a job is retried.
 JOB_SUBMISSION_TIMEOUT_S = 10.0
+# Seconds for which a call that shows or cancels work is retried.
 OWNER_CALL_TIMEOUT_S = 5.0
 
-_NOTHING_TAKEN_IN = frozenset(
+# Refusals after which it is certain that the owner did not accept the work.
+_NOT_ACCEPTED_KINDS = frozenset(
     {ErrorKind.NOT_OWNER, ErrorKind.NO_OWNER, ErrorKind.DRAINING}
 )
 
@@ -36,6 +40,26 @@
 
 @define(eq=False)
 class _Waiter:
+    """A caller that waits for the result of a request.
+
+    Attributes
+    ----------
+    submission : Submission
+        The request.
+    work_id : str
+        Id of the work whose result is awaited. It is not that of the submission if the
+        idempotency key was used before.
+    may_be_accepted : bool
+        Whether an owner has accepted the work or may have accepted it.
+    epoch : int or None
+        Epoch of the owner that accepted the work; None if the work must be submitted
+        again.
+    view : WorkView or None
+        The result; None before it is known.
+    changed : asyncio.Event
+        Is set when the result is known or the work must be submitted again.
+    """
+
     submission: Submission
     work_id: str
     may_be_accepted: bool = False
@@ -45,29 +69,47 @@
 
 
 def new_work_id(pool: str, slices: int, team: str, key: str, unique_id: str) -> str:
-    """Return an id for work, in the slice that its key or else `unique` selects."""
+    """Return an id for work.
+
+    The hash of the team and the idempotency key selects the slice of the pool, so that
+    repeats of a submission reach the same partition. Without a key the hash of
+    `unique_id` does.
+
+    Parameters
+    ----------
+    pool : str
+        Name of the pool.
+    slices : int
+        Number of slices of the pool.
+    team : str
+        The team that submits the work.
+    key : str
+        The idempotency key; empty for none.
+    unique_id : str
+        An identifier that was never used.
+    """
     index = slice_index_of(f"{team}/{key}" if key else unique_id, slices)
     return f"{partition_name(pool, index)}.{unique_id}"
 
 
 class Router:
-    """Follows each submission until its truth is known.
+    """Submits work to its owner, again after a failure, until the outcome is known.
 
-    A submission keeps its id on every repeat, so the owner of its partition takes it
-    in once, whichever of the repeats arrive.
+    A submission keeps its id when it is sent again. So the owner of its partition
+    accepts it only once, no matter which of the attempts arrive.
 
     Parameters
     ----------
     identity : Identity
-        This member.
+        The member that this process is; owners send results to it.
     directory : Directory
-        The owners.
+        The owners of the partitions.
     find_gateway : callable
         Returns the gateway to an owner, or None if it cannot be reached.
     clock : Clock
-        The clock.
+        Measures the time for retries.
     counters : Counters
-        Takes the counts.
+        Counts retries and timeouts.
     """
 
     def __init__(
@@ -87,80 +129,88 @@
 
     @property
     def waiting_count(self) -> int:
-        """Number of callers that wait for an answer."""
+        """Number of callers that wait for the result of a request."""
         return sum(len(waiters) for waiters in self._waiters.values())
 
     def deliver(self, view: WorkView) -> None:
-        """Take the result of a request."""
+        """Pass the result of a request to the callers that wait for it."""
         for waiter in self._waiters.get(view.work_id, []):
             waiter.view = view
             waiter.changed.set()
 
     def handle_owner_change(self) -> None:
-        """Wake those whose work has a new owner."""
+        """Let requests be submitted again whose partition has a new owner."""
         for waiters in self._waiters.values():
             for waiter in waiters:
-                owner = self._owner_of(waiter.work_id)
+                owner = self._find_owner(waiter.work_id)
                 if owner is not None and owner.epoch != waiter.epoch:
                     waiter.changed.set()
 
     def handle_identity_change(self) -> None:
-        """Let every submission be repeated under the new member's name."""
+        """Let every request be submitted again, for results to reach the new member."""
         for waiters in self._waiters.values():
             for waiter in waiters:
                 waiter.epoch = None
                 waiter.changed.set()
 
     async def run_request(self, submission: Submission) -> Result[WorkView, Refusal]:
-        """Run a request and return what is known of it at its deadline at latest."""
+        """Run a request; return its outcome, at the latest after its deadline."""
         waiter = _Waiter(submission, submission.work_id)
         self._register(waiter)
         try:
             async with asyncio.timeout(submission.deadline_s):
-                return await self._pursue(waiter)
+                return await self._submit_until_result(waiter)
         except TimeoutError:
-            return await self._give_up(waiter)
+            return await self._resolve_timeout(waiter)
         finally:
             self._unregister(waiter)
 
     async def submit_job(self, submission: Submission) -> Result[str, Refusal]:
-        """Submit a job and return its id once it is on record."""
-        give_up_s = self._clock.now() + JOB_SUBMISSION_TIMEOUT_S
-        last = Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
+        """Submit a job; return its id once its owner has recorded it in the journal."""
+        expires_at_s = self._clock.now() + JOB_SUBMISSION_TIMEOUT_S
+        last_refusal = Refusal(
+            ErrorKind.NO_OWNER, "no host owns the partition at present"
+        )
         may_be_accepted = False
-        while self._clock.now() < give_up_s:
-            gateway = self._gateway_of(submission.work_id)
+        while self._clock.now() < expires_at_s:
+            gateway = self._find_owner_gateway(submission.work_id)
             if gateway is not None:
-                sent = evolve(submission, resubmitted=may_be_accepted)
-                outcome = await gateway.submit(sent, self._identity.member)
+                attempt = evolve(submission, resubmitted=may_be_accepted)
+                outcome = await gateway.submit(attempt, self._identity.member)
                 if isinstance(outcome, Ok):
                     return outcome
-                last = outcome.err_value
-                if last.kind is ErrorKind.OUTCOME_UNKNOWN:
+                last_refusal = outcome.err_value
+                if last_refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
                     may_be_accepted = True
-                elif last.kind not in _NOTHING_TAKEN_IN and not may_be_accepted:
+                elif (
+                    last_refusal.kind not in _NOT_ACCEPTED_KINDS and not may_be_accepted
+                ):
                     return outcome
-                self._counters.add(f"router.retried.{last.kind.value}")
+                self._counters.add(f"router.retried.{last_refusal.kind.value}")
             await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
         if may_be_accepted:
-            message = f"job {submission.work_id} may be on record; ask for it later"
+            message = (
+                f"job {submission.work_id} may have been recorded; ask for it later"
+            )
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
-        return Err(last)
+        return Err(last_refusal)
 
     async def cancel_job(
         self, work_id: str, reason: Refusal
     ) -> Result[WorkView, Refusal]:
-        """End a job."""
-        return await self._ask(
+        """Cancel a job; return its view."""
+        return await self._call_owner(
             work_id, lambda gateway: gateway.cancel(work_id, reason, "")
         )
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
-        """Return a view of work, once it is final or `hold_s` seconds have passed."""
-        return await self._ask(work_id, lambda gateway: gateway.show(work_id, hold_s))
+        """Return a view of work once it is final, or after `hold_s` seconds."""
+        return await self._call_owner(
+            work_id, lambda gateway: gateway.show(work_id, hold_s)
+        )
 
     async def list_team(self, team: str) -> Result[list[WorkView], Refusal]:
-        """Return views of a team's jobs in all partitions."""
+        """Return views of a team's jobs in all partitions with a connected owner."""
         views: list[WorkView] = []
         for partition, owner in sorted(self._directory.owners.items()):
             gateway = self._find_gateway(owner)
@@ -173,7 +223,7 @@
         return Ok(views)
 
     async def inspect_all(self) -> list[PartitionView]:
-        """Return views of the partitions whose owners answer."""
+        """Return views of all partitions whose owners answer."""
         views: list[PartitionView] = []
         for partition, owner in sorted(self._directory.owners.items()):
             gateway = self._find_gateway(owner)
@@ -184,10 +234,10 @@
                 views.append(view.ok_value)
         return views
 
-    async def _pursue(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
-        """Submit to one owner after another until a result comes."""
+    async def _submit_until_result(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
+        """Submit a request to each new owner of its partition until its result comes."""
         while True:
-            refusal = await self._submit(waiter)
+            refusal = await self._submit_once(waiter)
             if waiter.view is not None:
                 return Ok(waiter.view)
             if refusal is None:
@@ -197,34 +247,42 @@
             self._counters.add(f"router.retried.{refusal.kind.value}")
             if refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
                 waiter.may_be_accepted = True
-            elif refusal.kind not in _NOTHING_TAKEN_IN and not waiter.may_be_accepted:
+            elif refusal.kind not in _NOT_ACCEPTED_KINDS and not waiter.may_be_accepted:
                 return Err(refusal)
             await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
 
-    async def _submit(self, waiter: _Waiter) -> Refusal | None:
-        """Submit once, unless the present owner already has the work."""
-        owner = self._owner_of(waiter.work_id)
+    async def _submit_once(self, waiter: _Waiter) -> Refusal | None:
+        """Submit a request once, unless the present owner has already accepted it.
+
+        Returns the refusal, or None if the work is accepted.
+        """
+        owner = self._find_owner(waiter.work_id)
         if owner is None:
-            return Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
+            return Refusal(ErrorKind.NO_OWNER, "no host owns the partition at present")
         if owner.epoch == waiter.epoch:
             return None
         gateway = self._find_gateway(owner)
         if gateway is None:
-            return Refusal(ErrorKind.NO_OWNER, "the partition's owner is not reached")
-        sent = evolve(waiter.submission, resubmitted=waiter.may_be_accepted)
-        outcome = await gateway.submit(sent, self._identity.member)
+            return Refusal(
+                ErrorKind.NO_OWNER, "the partition's owner cannot be reached"
+            )
+        attempt = evolve(waiter.submission, resubmitted=waiter.may_be_accepted)
+        outcome = await gateway.submit(attempt, self._identity.member)
         if isinstance(outcome, Err):
             return outcome.err_value
         waiter.may_be_accepted = True
         waiter.epoch = owner.epoch
         if outcome.ok_value != waiter.work_id:
-            await self._follow(waiter, outcome.ok_value, gateway)
+            await self._switch_to_earlier_work(waiter, outcome.ok_value, gateway)
         return None
 
-    async def _follow(self, waiter: _Waiter, work_id: str, gateway: Gateway) -> None:
-        """Wait for the work that an idempotency key was first used for.
+    async def _switch_to_earlier_work(
+        self, waiter: _Waiter, work_id: str, gateway: Gateway
+    ) -> None:
+        """Let a waiter wait for earlier work with the same idempotency key.
 
-        Its result may have come before this waiter stood under the work's id.
+        The result may have arrived before this waiter was registered under the id of
+        that work, so its owner is asked for it.
         """
         self._unregister(waiter)
         waiter.work_id = work_id
@@ -233,57 +291,64 @@
         if isinstance(view, Ok) and view.ok_value.is_final:
             waiter.view = view.ok_value
 
-    async def _give_up(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
-        """Tell the truth about a request whose deadline has passed."""
+    async def _resolve_timeout(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
+        """Return what is known of a request whose deadline has passed.
+
+        Work that may be accepted is cancelled if no other caller waits for it.
+        """
         if waiter.view is not None:
             return Ok(waiter.view)
         self._counters.add("router.timeout")
         if not waiter.may_be_accepted:
-            message = "no host took the work in before its deadline"
+            message = "no host accepted the work before its deadline"
             return Err(Refusal(ErrorKind.TIMEOUT, message))
         if len(self._waiters.get(waiter.work_id, [])) == 1:
             view = await self._cancel_request(waiter.work_id)
             if view is not None:
                 return Ok(view)
-        message = "the deadline passed while the work may have been running"
+        message = "the deadline passed, and the work may have run or may still run"
         return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
 
     async def _cancel_request(self, work_id: str) -> WorkView | None:
-        """End a request; return its view if everything is known of it."""
-        gateway = self._gateway_of(work_id)
+        """Cancel a request; return its view if it is final, else None."""
+        gateway = self._find_owner_gateway(work_id)
         if gateway is None:
             return None
-        reason = Refusal(ErrorKind.TIMEOUT, "the deadline passed before it could run")
+        reason = Refusal(
+            ErrorKind.TIMEOUT, "the deadline passed before the work could run"
+        )
         view = await gateway.cancel(work_id, reason, self._identity.member)
         if isinstance(view, Ok) and view.ok_value.is_final:
             return view.ok_value
         return None
 
-    async def _ask(
+    async def _call_owner(
         self, work_id: str, call: Callable[[Gateway], PendingView]
     ) -> Result[WorkView, Refusal]:
-        """Ask the owner of some work, and again while the owner changes."""
-        give_up_s = self._clock.now() + OWNER_CALL_TIMEOUT_S
+        """Call the owner of work; retry while its partition has no reachable owner."""
+        expires_at_s = self._clock.now() + OWNER_CALL_TIMEOUT_S
         if "." not in partition_of_work_id(work_id):
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
-        last = Refusal(ErrorKind.NO_OWNER, "no host owns the partition now")
-        while self._clock.now() < give_up_s:
-            gateway = self._gateway_of(work_id)
+        last_refusal = Refusal(
+            ErrorKind.NO_OWNER, "no host owns the partition at present"
+        )
+        while self._clock.now() < expires_at_s:
+            gateway = self._find_owner_gateway(work_id)
             if gateway is not None:
                 outcome = await call(gateway)
                 if isinstance(outcome, Ok):
                     return outcome
-                last = outcome.err_value
-                if last.kind not in _NOTHING_TAKEN_IN:
+                last_refusal = outcome.err_value
+                if last_refusal.kind not in _NOT_ACCEPTED_KINDS:
                     return outcome
             await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
-        return Err(last)
+        return Err(last_refusal)
 
-    def _owner_of(self, work_id: str) -> Owner | None:
+    def _find_owner(self, work_id: str) -> Owner | None:
         return self._directory.owners.get(partition_of_work_id(work_id))
 
-    def _gateway_of(self, work_id: str) -> Gateway | None:
-        owner = self._owner_of(work_id)
+    def _find_owner_gateway(self, work_id: str) -> Gateway | None:
+        owner = self._find_owner(work_id)
         return self._find_gateway(owner) if owner is not None else None
 
     def _register(self, waiter: _Waiter) -> None:
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies into submissions."""
+"""Parses the bodies of callers' requests into submissions."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 )
 from fuchsiadale.entry.router import new_work_id
 
+# Bounds of the fields of a submission. Names that end in ``_S`` are in seconds.
 MAX_CORES = 1024.0
 MAX_MEMORY_GB = 65536.0
 MAX_ACCELERATORS = 64
@@ -39,16 +40,17 @@
 
 @frozen
 class Caller:
-    """Who submits, and by which queue.
+    """A caller and the queue to which it submits work.
 
     Attributes
     ----------
     team : str
-        The team of the key; empty on a queue open to all.
+        The team of the caller's API key; empty if the queue is open and no key was
+        given.
     queue : str
         Name of the queue.
     idempotency_key : str
-        The caller's key; empty for none.
+        Value of the header ``Idempotency-Key``; empty for none.
     """
 
     team: str
@@ -61,27 +63,27 @@
     kind: WorkKind | None,
     caller: Caller,
     configuration: Configuration,
-    unique: str,
+    unique_id: str,
 ) -> Result[Submission, Refusal]:
-    """Return the submission in a caller's body.
+    """Return the submission that the body of a request holds.
 
     Parameters
     ----------
     body : bytes
         The JSON body.
     kind : WorkKind or None
-        The kind of work; read from the body if None.
+        The kind of work; None if the body names it.
     caller : Caller
-        Who submits.
+        The caller and its queue.
     configuration : Configuration
         The configuration in force.
-    unique : str
-        An identifier that was never used, for the work's id.
+    unique_id : str
+        An identifier that was never used, from which the work's id is made.
 
     Returns
     -------
     Result
-        The submission, or a refusal that names every field that is wrong.
+        The submission, or a refusal; it names every invalid field of the body.
     """
     if len(caller.idempotency_key) > MAX_IDEMPOTENCY_KEY_LENGTH:
         message = (
@@ -90,23 +92,23 @@
         return Err(Refusal(ErrorKind.MALFORMED, message))
     parsed = parse_json(body)
     if isinstance(parsed, Err):
-        return Err(_malformed(parsed.err_value))
+        return Err(_malformed_refusal(parsed.err_value))
     problems: list[Problem] = []
     reader = Reader(parsed.ok_value, problems)
     queue = configuration.queues[caller.queue]
     slices = configuration.pools[queue.pool].slices
-    kind = kind or _kind(reader)
+    kind = kind or _read_kind(reader)
     submission = Submission(
         work_id=new_work_id(
-            queue.pool, slices, caller.team, caller.idempotency_key, unique
+            queue.pool, slices, caller.team, caller.idempotency_key, unique_id
         ),
         kind=kind,
         team=caller.team,
         queue=caller.queue,
-        program=Program(reader.text("program"), _payload(reader)),
-        resources=_resources(reader),
-        tasks=_task_count(reader, kind),
-        priority=_priority(reader, queue),
+        program=Program(reader.text("program"), _read_payload(reader)),
+        resources=_read_resources(reader),
+        tasks=_read_task_count(reader, kind),
+        priority=_read_priority(reader, queue),
         idempotent=reader.boolean("idempotent", kind is not WorkKind.REQUEST),
         key=caller.idempotency_key,
         deadline_s=reader.number("timeout_s", DEFAULT_DEADLINE_S, 0.05, MAX_DEADLINE_S),
@@ -114,87 +116,91 @@
     )
     reader.finish()
     if problems:
-        return Err(_malformed(problems))
+        return Err(_malformed_refusal(problems))
     if kind not in queue.kinds:
         message = f"queue {caller.queue!r} takes no {kind.value} work"
         return Err(Refusal(ErrorKind.FORBIDDEN, message))
     if len(submission.program.payload) > MAX_PAYLOAD_BYTES:
         message = f"the payload is larger than {MAX_PAYLOAD_BYTES} bytes"
         return Err(Refusal(ErrorKind.TOO_LARGE, message))
-    return _within_limit(submission, configuration)
+    return _check_team_limit(submission, configuration)
 
 
-def _within_limit(
+def _check_team_limit(
     submission: Submission, configuration: Configuration
 ) -> Result[Submission, Refusal]:
-    """Refuse what exceeds the team's upper limit even when it runs alone."""
+    """Refuse work that exceeds the team's limit even while nothing else runs."""
     team = configuration.teams.get(submission.team)
     if team is None:
         return Ok(submission)
-    at_once = submission.tasks if submission.kind is WorkKind.GANG else 1
-    if not submission.resources.times(at_once).fits_in(team.limit):
+    concurrent_tasks = submission.tasks if submission.kind is WorkKind.GANG else 1
+    if not submission.resources.times(concurrent_tasks).fits_in(team.limit):
         message = f"the work exceeds the upper limit of team {submission.team!r}"
         return Err(Refusal(ErrorKind.INFEASIBLE, message))
     return Ok(submission)
 
 
-def _kind(reader: Reader) -> WorkKind:
+def _read_kind(reader: Reader) -> WorkKind:
     text = reader.text("kind", WorkKind.BATCH.value)
-    known = [kind for kind in WorkKind if kind is not WorkKind.REQUEST]
-    for kind in known:
+    job_kinds = [kind for kind in WorkKind if kind is not WorkKind.REQUEST]
+    for kind in job_kinds:
         if kind.value == text:
             return kind
-    names = ", ".join(kind.value for kind in known)
+    names = ", ".join(kind.value for kind in job_kinds)
     reader.complain(f"{text!r} is not a kind of job; known are {names}", "kind")
     return WorkKind.BATCH
 
 
-def _task_count(reader: Reader, kind: WorkKind) -> int:
+def _read_task_count(reader: Reader, kind: WorkKind) -> int:
     if kind is WorkKind.REQUEST:
         return 1
     return reader.integer("tasks", 1, 1, MAX_JOB_TASKS)
 
 
-def _priority(reader: Reader, queue: QueueConfig) -> Priority:
+def _read_priority(reader: Reader, queue: QueueConfig) -> Priority:
     text = reader.text("priority", "normal")
     if text == "normal":
         return Priority.NORMAL
     if text != "urgent":
         reader.complain("must be normal or urgent", "priority")
     elif not queue.urgent:
-        reader.complain("the queue takes no urgent work", "priority")
+        reader.complain("the queue does not accept urgent work", "priority")
     return Priority.URGENT
 
 
-def _payload(reader: Reader) -> bytes:
+def _read_payload(reader: Reader) -> bytes:
     encoded = reader.text("payload_base64", "")
     plain = reader.text("payload", "")
     if encoded and plain:
-        reader.complain("payload is given too", "payload_base64")
+        reader.complain("cannot be given together with payload", "payload_base64")
     if not encoded:
         return plain.encode()
     try:
         return base64.b64decode(encoded, validate=True)
     except binascii.Error as error:
-        reader.complain(f"is not base64: {error}", "payload_base64")
+        reader.complain(f"is not valid base64: {error}", "payload_base64")
         return b""
 
 
-def _resources(reader: Reader) -> Resources:
-    inner = reader.mapping("resources")
-    if inner is None:
+def _read_resources(reader: Reader) -> Resources:
+    resources_reader = reader.mapping("resources")
+    if resources_reader is None:
         return Resources(MILLIS_PER_CORE, MB_PER_GB, 0, 1, 1)
     resources = Resources(
-        cpu_millis=int(inner.number("cores", 1.0, 0.0, MAX_CORES) * MILLIS_PER_CORE),
-        memory_mb=int(inner.number("memory_gb", 1.0, 0.0, MAX_MEMORY_GB) * MB_PER_GB),
-        accelerators=inner.integer("accelerators", 0, 0, MAX_ACCELERATORS),
+        cpu_millis=int(
+            resources_reader.number("cores", 1.0, 0.0, MAX_CORES) * MILLIS_PER_CORE
+        ),
+        memory_mb=int(
+            resources_reader.number("memory_gb", 1.0, 0.0, MAX_MEMORY_GB) * MB_PER_GB
+        ),
+        accelerators=resources_reader.integer("accelerators", 0, 0, MAX_ACCELERATORS),
         slots=1,
-        connections=inner.integer("connections", 1, 0, MAX_CONNECTIONS),
+        connections=resources_reader.integer("connections", 1, 0, MAX_CONNECTIONS),
     )
-    inner.finish()
+    resources_reader.finish()
     return resources
 
 
-def _malformed(problems: list[Problem]) -> Refusal:
+def _malformed_refusal(problems: list[Problem]) -> Refusal:
     lines = [f"{problem.field or 'body'}: {problem.message}" for problem in problems]
     return Refusal(ErrorKind.MALFORMED, "; ".join(lines))
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -1,4 +1,4 @@
-"""Drives one worker: adoption, heartbeats, starts and stops."""
+"""Keeps the session with one worker and sends it orders to start and stop."""
 
 from __future__ import annotations
 
@@ -27,13 +27,24 @@
 from fuchsiadale.decision.work import Attempt, AttemptEnd, TaskState
 from fuchsiadale.metrics import Counters
 
+# Seconds after a failed call until the next one.
 CALL_RETRY_DELAY_S = 0.25
 
 Callback = Callable[[], None]
 
 
 @define
-class _Outgoing:
+class _PendingOrders:
+    """Orders that are to be sent with the next batch.
+
+    Attributes
+    ----------
+    starts : list of Attempt
+        The attempts to start.
+    stops : list of StopOrder
+        The attempts to stop.
+    """
+
     starts: list[Attempt] = field(factory=list)
     stops: list[StopOrder] = field(factory=list)
 
@@ -43,24 +54,29 @@
 
     Parameters
     ----------
-    name : str
-        The worker.
+    worker_name : str
+        Name of the worker.
     address : str
-        Where its backend server listens.
-    server : BackendServer
-        Its backend server.
+        Base URL of the worker's backend server.
+    backend_server : BackendServer
+        Client of the worker's backend server.
     partition : Partition
-        The partition.
-    reconciliation : Reconciler
-        Takes the worker's reports.
+        The partition that manages the worker.
+    reconciler : Reconciler
+        Processes the worker's reports.
     clock : Clock
-        The clock.
+        The local clock.
     counters : Counters
-        Takes the counts.
+        Counts failed calls and refused starts.
     on_change : callable
-        Called when a report or an answer changed the partition.
-    on_stale : callable
-        Called when the worker follows a newer epoch.
+        Called when a report or a reply may have changed the partition.
+    on_stale_epoch : callable
+        Called when the worker knows a higher epoch, so the partition has a new owner.
+
+    Attributes
+    ----------
+    address : str
+        Base URL of the worker's backend server.
     """
 
     def __init__(
@@ -76,37 +92,40 @@
         on_stale_epoch: Callback,
     ) -> None:
         self.address = address
-        self._name = worker_name
-        self._server = backend_server
+        self._worker_name = worker_name
+        self._backend_server = backend_server
         self._partition = partition
-        self._reconciliation = reconciler
+        self._reconciler = reconciler
         self._clock = clock
         self._counters = counters
         self._on_change = on_change
-        self._on_stale = on_stale_epoch
-        self._outgoing = _Outgoing()
-        self._ready_to_send = asyncio.Event()
+        self._on_stale_epoch = on_stale_epoch
+        self._pending_orders = _PendingOrders()
+        self._orders_available = asyncio.Event()
         self._acknowledgements: list[str] = []
-        self._echo_s = 0.0
-        self._echo_received_s = 0.0
+        self._worker_clock_s = 0.0
+        self._worker_clock_received_s = 0.0
         self._received_through = 0
 
     def enqueue_start(self, attempt: Attempt) -> None:
-        """Send a start with the next batch."""
-        self._outgoing.starts.append(attempt)
-        self._ready_to_send.set()
+        """Send the start of an attempt with the next batch."""
+        self._pending_orders.starts.append(attempt)
+        self._orders_available.set()
 
     def enqueue_stop(self, order: StopOrder) -> None:
-        """Send a stop with the next batch."""
-        self._outgoing.stops.append(order)
-        self._ready_to_send.set()
+        """Send an order to stop an attempt with the next batch."""
+        self._pending_orders.stops.append(order)
+        self._orders_available.set()
 
     def enqueue_acknowledgement(self, attempt_id: str) -> None:
-        """Let the worker forget an ended attempt with the next heartbeat."""
+        """Acknowledge the end of an attempt with the next heartbeat.
+
+        The worker may then discard the answer of the attempt.
+        """
         self._acknowledgements.append(attempt_id)
 
     async def keep_session(self) -> None:
-        """Adopt the worker, then send heartbeats for as long as it follows."""
+        """Adopt the worker, then send heartbeats until cancelled."""
         while not await self._adopt():
             await asyncio.sleep(CALL_RETRY_DELAY_S)
         while True:
@@ -114,69 +133,69 @@
                 await asyncio.sleep(CALL_RETRY_DELAY_S)
 
     async def send_orders(self) -> None:
-        """Send starts and stops in batches, for ever."""
+        """Send starts and stops in batches until cancelled."""
         while True:
-            await self._ready_to_send.wait()
-            self._ready_to_send.clear()
-            outgoing = self._outgoing
-            self._outgoing = _Outgoing()
-            if outgoing.stops:
-                await self._send_stops(outgoing.stops)
-            if outgoing.starts:
-                await self._send_starts(outgoing.starts)
+            await self._orders_available.wait()
+            self._orders_available.clear()
+            orders = self._pending_orders
+            self._pending_orders = _PendingOrders()
+            if orders.stops:
+                await self._send_stops(orders.stops)
+            if orders.starts:
+                await self._send_starts(orders.starts)
 
     async def _adopt(self) -> bool:
         sent_s = self._clock.now()
         order = AdoptOrder(self._partition.name, self._partition.epoch)
-        answer = await self._server.adopt(order)
+        answer = await self._backend_server.adopt(order)
         if isinstance(answer, Err):
-            self._failed("adopt", answer.err_value)
+            self._record_failure("adopt", answer.err_value)
             return False
         report = answer.ok_value
-        self._take_reading(report)
-        # The session opens with a heartbeat that echoes the worker's clock.
-        if not await self._heartbeat(0.0, is_open=False):
+        self._record_worker_clock(report)
+        # The worker opens the session at the heartbeat that returns its clock reading.
+        if not await self._heartbeat(0.0, is_session_open=False):
             return False
-        self._reconciliation.process_adoption(self._name, report, sent_s)
+        self._reconciler.process_adoption(self._worker_name, report, sent_s)
         self._on_change()
         return True
 
-    async def _heartbeat(self, hold_s: float, is_open: bool = True) -> bool:
+    async def _heartbeat(self, hold_s: float, is_session_open: bool = True) -> bool:
         sent_s = self._clock.now()
-        acknowledged = self._acknowledgements
+        acknowledgements = self._acknowledgements
         self._acknowledgements = []
         order = HeartbeatOrder(
             epoch=self._partition.epoch,
-            echo_s=self._echo_s,
+            echo_s=self._worker_clock_s,
             received_through=self._received_through,
-            acknowledged=acknowledged,
+            acknowledged=acknowledgements,
             hold_s=hold_s,
         )
-        answer = await self._server.heartbeat(order)
+        answer = await self._backend_server.heartbeat(order)
         if isinstance(answer, Err):
-            self._acknowledgements = acknowledged + self._acknowledgements
-            self._failed("heartbeat", answer.err_value)
+            self._acknowledgements = acknowledgements + self._acknowledgements
+            self._record_failure("heartbeat", answer.err_value)
             return False
         report = answer.ok_value
-        self._take_reading(report)
-        if is_open:
-            self._reconciliation.process_heartbeat(self._name, report, sent_s)
+        self._record_worker_clock(report)
+        if is_session_open:
+            self._reconciler.process_heartbeat(self._worker_name, report, sent_s)
             self._received_through = report.ended_through
             self._on_change()
         return True
 
-    def _take_reading(self, report: WorkerReport) -> None:
-        self._echo_s = report.clock_s
-        self._echo_received_s = self._clock.now()
+    def _record_worker_clock(self, report: WorkerReport) -> None:
+        self._worker_clock_s = report.clock_s
+        self._worker_clock_received_s = self._clock.now()
 
-    def _failed(self, call: str, failure: CallFailure) -> None:
+    def _record_failure(self, call: str, failure: CallFailure) -> None:
         self._counters.add(f"backend.{call}.{failure.value}")
         if failure is CallFailure.STALE_EPOCH:
-            self._on_stale()
+            self._on_stale_epoch()
 
     async def _send_starts(self, attempts: list[Attempt]) -> None:
-        since_reading_s = self._clock.now() - self._echo_received_s
-        valid_until_s = self._echo_s + since_reading_s + START_VALIDITY_S
+        elapsed_s = self._clock.now() - self._worker_clock_received_s
+        valid_until_s = self._worker_clock_s + elapsed_s + START_VALIDITY_S
         orders = [
             StartOrder(
                 attempt_id=attempt.attempt_id,
@@ -189,22 +208,24 @@
             for attempt in attempts
             if self._partition.mark_sent(attempt, valid_until_s)
         ]
-        self._call_off(attempts)
+        self._end_unsent_attempts(attempts)
         if not orders:
             return
-        answer = await self._server.start(StartBatch(self._partition.epoch, orders))
+        answer = await self._backend_server.start(
+            StartBatch(self._partition.epoch, orders)
+        )
         if isinstance(answer, Err):
-            self._starts_failed(orders, answer.err_value)
+            self._handle_start_failure(orders, answer.err_value)
             return
         for reply in answer.ok_value:
             if reply.refusal is None:
                 self._partition.mark_started(reply.attempt_id)
             else:
-                self._start_refused(reply.attempt_id, reply.refusal)
+                self._handle_start_refusal(reply.attempt_id, reply.refusal)
         self._on_change()
 
-    def _call_off(self, attempts: list[Attempt]) -> None:
-        """Give back what may not be sent because the right to act has lapsed."""
+    def _end_unsent_attempts(self, attempts: list[Attempt]) -> None:
+        """End attempts that were not sent because the owner may no longer act."""
         for attempt in attempts:
             task = self._partition.work_registry.find_task_by_current_attempt(
                 attempt.attempt_id
@@ -214,9 +235,14 @@
                     attempt.attempt_id, AttemptEnd.NOT_RUN, reason="no_authority"
                 )
 
-    def _starts_failed(self, orders: list[StartOrder], failure: CallFailure) -> None:
-        """Call off starts that were not sent; the others show in a heartbeat."""
-        self._failed("start", failure)
+    def _handle_start_failure(
+        self, orders: list[StartOrder], failure: CallFailure
+    ) -> None:
+        """End the attempts of a start call that was not sent.
+
+        If the call may have arrived, a later heartbeat reports whether they started.
+        """
+        self._record_failure("start", failure)
         if failure is not CallFailure.NOT_SENT:
             return
         for order in orders:
@@ -225,21 +251,23 @@
             )
         self._on_change()
 
-    def _start_refused(self, attempt_id: str, refusal: SessionRefusal) -> None:
+    def _handle_start_refusal(self, attempt_id: str, refusal: SessionRefusal) -> None:
         self._counters.add(f"backend.start.refused.{refusal.value}")
         if refusal is SessionRefusal.STALE_EPOCH:
-            self._on_stale()
+            self._on_stale_epoch()
         if refusal is SessionRefusal.LEAVING:
-            self._partition.ledger.change_state(self._name, "leave")
+            self._partition.ledger.change_state(self._worker_name, "leave")
         self._partition.mark_ended(attempt_id, AttemptEnd.NOT_RUN, reason=refusal.value)
 
     async def _send_stops(self, orders: list[StopOrder]) -> None:
         messages = [
             StopOrderMessage(order.attempt_id, order.checkpoint) for order in orders
         ]
-        answer = await self._server.stop(StopBatch(self._partition.epoch, messages))
+        answer = await self._backend_server.stop(
+            StopBatch(self._partition.epoch, messages)
+        )
         if isinstance(answer, Err):
-            self._failed("stop", answer.err_value)
+            self._record_failure("stop", answer.err_value)
             await asyncio.sleep(CALL_RETRY_DELAY_S)
-            self._outgoing.stops = orders + self._outgoing.stops
-            self._ready_to_send.set()
+            self._pending_orders.stops = orders + self._pending_orders.stops
+            self._orders_available.set()
--- a/src/fuchsiadale/entry/worker_list.py
+++ b/src/fuchsiadale/entry/worker_list.py
@@ -1,4 +1,4 @@
-"""Keeps a copy of the platform's host list."""
+"""Keeps a copy of the platform's list of worker hosts."""
 
 from __future__ import annotations
 
@@ -15,24 +15,35 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.hosts import HostList
 
+# Seconds between two reads of the host list.
 HOST_LIST_POLL_PERIOD_S = 1.0
 
 
 @frozen
-class _Cut:
+class _PoolSlicing:
+    """The division of a pool into a number of slices, each of them a partition.
+
+    Attributes
+    ----------
+    pool : str
+        Name of the pool.
+    slices : int
+        Number of slices.
+    """
+
     pool: str
     slices: int
 
 
 class WorkerList:
-    """Polls the host list and cuts it into partitions.
+    """Polls the host list and divides its workers into partitions.
 
     Parameters
     ----------
     hosts : HostList
-        The host list.
+        Reads the host list of the platform.
     counters : Counters
-        Takes the counts.
+        Counts failed reads.
     on_change : callable
         Called after the list has changed.
     """
@@ -46,11 +57,11 @@
         self._version = 0
         self._workers: dict[str, WorkerInfo] = {}
         self._capacity = NO_RESOURCES
-        self._cuts: dict[_Cut, dict[str, list[WorkerInfo]]] = {}
+        self._workers_by_slicing: dict[_PoolSlicing, dict[str, list[WorkerInfo]]] = {}
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the list has been read."""
+        """Whether the list has been read at least once."""
         return self._version > 0
 
     @property
@@ -60,26 +71,36 @@
 
     @property
     def capacity(self) -> Resources:
-        """The capacity of all listed workers."""
+        """The total capacity of all listed workers."""
         return self._capacity
 
     def list_partition_workers(
-        self, pool: str, slices: int, name: str
+        self, pool: str, slices: int, partition: str
     ) -> list[WorkerInfo]:
-        """Return the workers of one slice of a pool."""
-        cut = _Cut(pool, slices)
-        if cut not in self._cuts:
-            self._cuts[cut] = self._cut_pool(cut)
-        return self._cuts[cut].get(name, [])
+        """Return the workers of one partition.
+
+        Parameters
+        ----------
+        pool : str
+            Name of the partition's pool.
+        slices : int
+            Number of slices of the pool.
+        partition : str
+            Name of the partition, which is one slice of the pool.
+        """
+        slicing = _PoolSlicing(pool, slices)
+        if slicing not in self._workers_by_slicing:
+            self._workers_by_slicing[slicing] = self._slice_pool(slicing)
+        return self._workers_by_slicing[slicing].get(partition, [])
 
     async def run(self) -> None:
-        """Poll the list, for ever."""
+        """Poll the list until cancelled."""
         while True:
             await self.poll()
             await asyncio.sleep(HOST_LIST_POLL_PERIOD_S)
 
     async def poll(self) -> None:
-        """Read the list once; an unreadable list leaves the last one in force."""
+        """Read the list once; if that fails, the last list stays in force."""
         listing = await self._hosts.fetch(self._version)
         if isinstance(listing, Err):
             self._counters.add("hosts.unreachable")
@@ -93,13 +114,13 @@
         for info in workers:
             total = total + info.capacity
         self._capacity = total
-        self._cuts.clear()
+        self._workers_by_slicing.clear()
         self._on_change()
 
-    def _cut_pool(self, cut: _Cut) -> dict[str, list[WorkerInfo]]:
-        partitions: defaultdict[str, list[WorkerInfo]] = defaultdict(list)
+    def _slice_pool(self, slicing: _PoolSlicing) -> dict[str, list[WorkerInfo]]:
+        workers_by_partition: defaultdict[str, list[WorkerInfo]] = defaultdict(list)
         for info in self._workers.values():
-            if info.pool == cut.pool:
-                index = slice_index_of(info.name, cut.slices)
-                partitions[partition_name(cut.pool, index)].append(info)
-        return dict(partitions)
+            if info.pool == slicing.pool:
+                index = slice_index_of(info.name, slicing.slices)
+                workers_by_partition[partition_name(slicing.pool, index)].append(info)
+        return dict(workers_by_partition)
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -1,4 +1,7 @@
-"""Any two faults at once, under load: what callers are told is what the workers saw."""
+"""Compares the outcomes that callers get with the runs on the workers, under faults.
+
+Up to four faults occur at once while callers send requests.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +25,36 @@
 
 HOSTS = ("entry-0", "entry-1", "entry-2")
 WORKERS = tuple(f"worker-{index}" for index in range(4))
-LOAD_S = 25.0
-REQUESTS = 150
-SETTLED_WITHIN_S = 120.0
+# Seconds over which the requests are spread.
+LOAD_DURATION_S = 25.0
+REQUEST_COUNT = 150
+# Seconds for which a scenario waits for the outcomes of its requests.
+SETTLE_TIMEOUT_S = 120.0
 
 
 @frozen
 class Fault:
-    """One fault: what, to whom, from when and for how long."""
+    """A fault that is injected into the cluster.
+
+    Attributes
+    ----------
+    kind : str
+        What fails.
+    host : str
+        The entry host that it affects, if the kind affects one.
+    worker : str
+        The worker that it affects, if the kind affects one.
+    at_s : float
+        Seconds from the start of the load to the fault.
+    duration_s : float
+        Seconds for which the fault lasts, if the kind has a duration.
+    """
 
     kind: str
     host: str
     worker: str
     at_s: float
-    lasts_s: float
+    duration_s: float
 
 
 FAULTS = st.lists(
@@ -59,42 +78,55 @@
         host=st.sampled_from(HOSTS),
         worker=st.sampled_from(WORKERS),
         at_s=st.sampled_from([1.0, 2.0, 3.3, 6.0, 9.7, 15.0]),
-        lasts_s=st.sampled_from([0.3, 2.0, 5.0, 9.0, 14.0]),
+        duration_s=st.sampled_from([0.3, 2.0, 5.0, 9.0, 14.0]),
     ),
     min_size=1,
     max_size=4,
 )
 
 
-class Chaos:
-    """Callers, faults, and a comparison of what was told with what was seen."""
+class FaultScenario:
+    """Sends requests to a cluster under faults and checks the outcomes.
+
+    Parameters
+    ----------
+    cluster : TestCluster
+        The cluster.
+
+    Attributes
+    ----------
+    outcomes : dict of str to Result
+        What the callers were told, by work id.
+    """
 
     def __init__(self, cluster: TestCluster) -> None:
         self._cluster = cluster
-        self.told: dict[str, Result[WorkView, Refusal]] = {}
+        self.outcomes: dict[str, Result[WorkView, Refusal]] = {}
         self._submissions: dict[str, Submission] = {}
 
     async def run(self, faults: list[Fault]) -> None:
-        """Send requests while faults come and go, then wait for every answer."""
-        calls = [asyncio.ensure_future(self._call(n)) for n in range(REQUESTS)]
-        waves = [asyncio.ensure_future(self._inflict(fault)) for fault in faults]
-        await asyncio.wait([*calls, *waves], timeout=SETTLED_WITHIN_S)
-        for wave in waves:
-            wave.result()
+        """Send requests while faults occur, then wait until no worker runs a task."""
+        calls = [
+            asyncio.ensure_future(self._send_request(n)) for n in range(REQUEST_COUNT)
+        ]
+        injections = [asyncio.ensure_future(self._inject(fault)) for fault in faults]
+        await asyncio.wait([*calls, *injections], timeout=SETTLE_TIMEOUT_S)
+        for injection in injections:
+            injection.result()
         await self._cluster.until(
             lambda: not any(w.running for w in self._cluster.workers.values())
         )
 
-    def check(self) -> None:
-        """Compare what callers were told with what the workers saw."""
+    def check_consistency(self) -> None:
+        """Compare the outcomes that callers got with the runs that workers observed."""
         runs: defaultdict[str, list[Observation]] = defaultdict(list)
-        for seen in self._cluster.observations:
-            runs[seen.attempt_id.rpartition("/")[0]].append(seen)
+        for observation in self._cluster.observations:
+            runs[observation.attempt_id.rpartition("/")[0]].append(observation)
         for work_id, submission in self._submissions.items():
             self._check_runs(submission, runs[work_id])
-            outcome = self.told.get(work_id)
+            outcome = self.outcomes.get(work_id)
             if outcome is not None:
-                self._check_told(submission, outcome, runs[work_id])
+                self._check_outcome(submission, outcome, runs[work_id])
         for worker in self._cluster.workers.values():
             assert not worker.overfilled
 
@@ -106,7 +138,7 @@
             assert earlier.ended_s is not None
             assert earlier.ended_s <= later.started_s
 
-    def _check_told(
+    def _check_outcome(
         self,
         submission: Submission,
         outcome: Result[WorkView, Refusal],
@@ -126,8 +158,8 @@
         if state is ExecutionOutcome.NOT_RUN:
             assert runs == []
 
-    async def _call(self, number: int) -> None:
-        await asyncio.sleep(LOAD_S * number / REQUESTS)
+    async def _send_request(self, number: int) -> None:
+        await asyncio.sleep(LOAD_DURATION_S * number / REQUEST_COUNT)
         run_s = (0.05, 0.5, 4.0)[number % 3]
         payload = json.dumps({"run_s": run_s, "answer": f"answer {number}"})
         submission = make_submission(number, idempotent=number % 2 == 0)
@@ -143,24 +175,24 @@
         host = hosts[number % len(hosts)]
         node = self._cluster.nodes[host]
         outcome = await node.router.run_request(submission)
-        # The caller of an entry that was killed is told nothing.
+        # A killed entry returns nothing to its callers.
         if self._cluster.nodes.get(host) is node:
-            self.told[submission.work_id] = outcome
+            self.outcomes[submission.work_id] = outcome
 
-    async def _inflict(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s)
         cluster = self._cluster
         if fault.kind in ("kill", "drain"):
-            await self._stop_and_start(fault)
+            await self._restart_entry(fault)
             return
         if fault.kind == "reboot worker":
             cluster.workers[fault.worker].reboot()
             return
-        self._switch(fault, is_on=True)
-        await asyncio.sleep(fault.lasts_s)
-        self._switch(fault, is_on=False)
+        self._set_fault(fault, is_on=True)
+        await asyncio.sleep(fault.duration_s)
+        self._set_fault(fault, is_on=False)
 
-    async def _stop_and_start(self, fault: Fault) -> None:
+    async def _restart_entry(self, fault: Fault) -> None:
         cluster = self._cluster
         if fault.host not in cluster.nodes:
             return
@@ -172,11 +204,11 @@
                 pass
         if fault.host in cluster.nodes:
             await cluster.kill(fault.host)
-        await asyncio.sleep(fault.lasts_s)
+        await asyncio.sleep(fault.duration_s)
         if fault.host not in cluster.nodes:
             cluster.start_node(fault.host)
 
-    def _switch(self, fault: Fault, is_on: bool) -> None:
+    def _set_fault(self, fault: Fault, is_on: bool) -> None:
         cluster = self._cluster
         links = cluster.links[fault.host]
         if fault.kind == "cut store":
@@ -200,22 +232,25 @@
             (names.add if is_on else names.discard)(fault.worker)
 
 
-async def play(faults: list[Fault], fencing: bool = True) -> None:
+async def run_scenario(faults: list[Fault], fencing: bool = True) -> None:
     workers = [make_worker_info(index, fencing=fencing) for index in range(4)]
     config = CONFIG if fencing else CONFIG.replace("{}", "{fencing: false}")
     async with TestCluster(3, workers, config) as cluster:
-        chaos = Chaos(cluster)
-        await chaos.run(faults)
-        chaos.check()
+        scenario = FaultScenario(cluster)
+        await scenario.run(faults)
+        scenario.check_consistency()
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(FAULTS)
-def test_callers_are_told_what_the_workers_saw(faults: list[Fault]) -> None:
-    run_virtually(play(faults))
+def test_reported_outcomes_match_the_runs_on_workers_under_random_faults(
+    faults: list[Fault],
+) -> None:
+    run_virtually(run_scenario(faults))
 
 
-FOUND = {
+# Faults, found by the random test, under which callers were once told a wrong outcome.
+FAULTS_OF_PAST_FAILURES = {
     "cancelled by an owner that had lost the partition": [
         Fault("cut store", "entry-2", "worker-2", 6.0, 5.0),
         Fault("lose store calls", "entry-2", "worker-0", 6.0, 5.0),
@@ -223,7 +258,7 @@
         Fault("worker leaves", "entry-1", "worker-1", 3.3, 0.3),
         Fault("cut store", "entry-1", "worker-3", 15.0, 14.0),
     ],
-    "cancelled while a former owner's run was not reached": [
+    "cancelled while the worker of a former owner's run was unreachable": [
         Fault("drain", "entry-2", "worker-0", 3.3, 2.0),
         Fault("lose worker answers", "entry-1", "worker-2", 2.0, 9.0),
         Fault("lose worker answers", "entry-1", "worker-3", 3.3, 9.0),
@@ -231,22 +266,26 @@
 }
 
 
-@pytest.mark.parametrize("name", list(FOUND))
-def test_faults_that_once_misled_a_caller(name: str) -> None:
-    run_virtually(play(FOUND[name]))
+@pytest.mark.parametrize("name", list(FAULTS_OF_PAST_FAILURES))
+def test_reported_outcomes_match_the_runs_on_workers_under_past_faults(
+    name: str,
+) -> None:
+    run_virtually(run_scenario(FAULTS_OF_PAST_FAILURES[name]))
 
 
 @pytest.mark.parametrize("fencing", [True, False])
-def test_two_believers_never_overfill_or_double(fencing: bool) -> None:
+def test_two_isolated_owners_never_overfill_a_worker_or_run_work_twice(
+    fencing: bool,
+) -> None:
     faults = [
         Fault(kind, host, "worker-0", 2.0, 14.0)
         for host in HOSTS[:2]
         for kind in ("cut store", "cut peers")
     ]
-    run_virtually(play(faults, fencing))
+    run_virtually(run_scenario(faults, fencing))
 
 
-def test_gang_is_not_split_by_a_kill() -> None:
+def test_gang_is_not_restarted_in_parts_after_its_owner_is_killed() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -1,4 +1,4 @@
-"""Configuration, keys and rights over several entries, on a virtual clock."""
+"""Changes of the configuration and its keys on several entries, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
 
-IN_FORCE_S = 18.0
-WITHDRAWN_S = 10.0
+# Seconds within which a change must be in force on every entry.
+PROPAGATION_TIMEOUT_S = 18.0
+# Seconds within which a withdrawn key must be rejected on every entry.
+WITHDRAWAL_TIMEOUT_S = 10.0
 
 
-def test_withdrawn_key_stops_everywhere_also_without_the_store() -> None:
+def test_withdrawn_key_is_rejected_by_isolated_entries_too() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             nodes = cluster.nodes
@@ -26,7 +28,7 @@
                     node.config.document.team_of_key(key.text) == "guild"
                     for node in nodes.values()
                 ),
-                IN_FORCE_S,
+                PROPAGATION_TIMEOUT_S,
             )
             cluster.links["entry-1"].store_cut = True
             cluster.links["entry-2"].store_cut = True
@@ -34,18 +36,18 @@
             (await nodes["entry-0"].config.withdraw_key(key.key_id)).unwrap()
             await cluster.until(
                 lambda: nodes["entry-1"].config.document.team_of_key(key.text) is None,
-                WITHDRAWN_S,
+                WITHDRAWAL_TIMEOUT_S,
             )
             await cluster.until(
                 lambda: not nodes["entry-2"].config.freshness.is_fresh(),
-                WITHDRAWN_S + 1.0,
+                WITHDRAWAL_TIMEOUT_S + 1.0,
             )
             assert nodes["entry-1"].config.freshness.is_fresh()
 
     run_virtually(session())
 
 
-def test_store_outage_for_all_leaves_the_configuration_in_force() -> None:
+def test_configuration_stays_fresh_while_no_entry_reaches_the_store() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             cluster.faults.table_down = True
@@ -56,7 +58,7 @@
     run_virtually(session())
 
 
-def test_one_of_two_racing_operators_wins_and_the_other_learns_which() -> None:
+def test_loser_of_two_concurrent_changes_gets_a_version_conflict() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             first, second = cluster.nodes.values()
@@ -75,7 +77,7 @@
     run_virtually(session())
 
 
-def test_change_whose_answer_was_lost_is_told_as_done() -> None:
+def test_change_whose_answer_was_lost_is_reported_as_done() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             node = cluster.nodes["entry-0"]
@@ -136,7 +138,7 @@
                     await asyncio.sleep(0.25)
                     check()
             cluster.links["entry-1"].store_cut = False
-            await asyncio.sleep(IN_FORCE_S)
+            await asyncio.sleep(PROPAGATION_TIMEOUT_S)
             versions = {n.config.document.version for n in cluster.nodes.values()}
             assert len(versions) == 1
 
