--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -175,7 +175,9 @@
                 if is_limited
                 else None,
                 "used": _resource_fields(used),
-                "keys": [k for k, r in document.keys.items() if r.team == name],
+                "keys": [
+                    key_id for key_id, key in document.keys.items() if key.team == name
+                ],
             }
         )
 
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -207,6 +207,7 @@
     def _authenticate_for_queue(
         self, queue: QueueConfig, queue_name: str, request: web.Request
     ) -> Result[str, Refusal]:
+        """Return the caller's team; empty if the queue is open and no key was given."""
         if queue.open and "Authorization" not in request.headers:
             return Ok("")
         team = self._authenticate(request)
@@ -233,6 +234,7 @@
         return Ok(team)
 
     def _check_availability(self) -> Refusal | None:
+        """Return the refusal for all calls while this entry must not accept any."""
         if self._is_refusing():
             return Refusal(
                 ErrorKind.DRAINING, "this entry is about to stop and accepts no calls"
@@ -243,11 +245,13 @@
         return None
 
     def _refuse(self, refusal: Refusal, work_id: str = "") -> web.Response:
+        """Count a refusal and return the response to it."""
         self._counters.add(f"answered.{refusal.kind.value}")
         return refusal_response(refusal, work_id)
 
 
 async def _read_body(request: web.Request) -> Result[bytes, Refusal]:
+    """Return the body of a request, or a refusal if it is too large."""
     try:
         return Ok(await request.read())
     except web.HTTPRequestEntityTooLarge:
@@ -256,6 +260,7 @@
 
 
 def _parse_wait(request: web.Request) -> Result[float, Refusal]:
+    """Return the seconds in the query parameter ``wait_s``; 0 if it is not given."""
     text = request.query.get("wait_s", "0")
     try:
         wait_s = float(text)
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -124,7 +124,7 @@
     async def replace_from_files(
         self, files: Sequence[SourceFile], base_version: int | None
     ) -> Result[ConfigDocument, Refusal]:
-        """Replace the configuration by that of an operator's files; the keys stay.
+        """Replace the configuration by that of an operator's files; keys are kept.
 
         Parameters
         ----------
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -153,6 +153,7 @@
             self._total_usage[use.team] = _decode_use(use)
 
     def _usage_by_aggregator(self) -> dict[str, dict[str, Resources]]:
+        """Return what the teams use at this member, by aggregator and team."""
         by_aggregator: defaultdict[str, dict[str, Resources]] = defaultdict(dict)
         members = list(self._directory.members)
         for team, used in self._local_usage().items():
@@ -175,6 +176,7 @@
         return totals
 
     def _record_own_usage(self, uses: dict[str, Resources]) -> None:
+        """Record this member's usage of the teams that it aggregates itself."""
         for team, used in uses.items():
             self._reported_usage[team][self._identity.member] = used
             self._total_usage[team] = self._sum_reports(team)
@@ -200,6 +202,7 @@
             del self._total_usage[team]
 
     def _discard_departed_members(self) -> None:
+        """Discard the reports of members that have left the cluster."""
         members = set(self._directory.members)
         for team, reports in list(self._reported_usage.items()):
             for member in set(reports) - members:
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -158,6 +158,7 @@
     def _active_teams(
         self, driver: PartitionDriver, grants: _PartitionGrants
     ) -> set[str]:
+        """Return the teams with a known grant, unmet demand or usage."""
         scheduler = driver.partition.scheduler
         active = set(grants.by_team)
         for name, allowance in scheduler.allowances.items():
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -29,7 +29,7 @@
 # Seconds for which a call that shows or cancels work is retried.
 OWNER_CALL_TIMEOUT_S = 5.0
 
-# Refusals after which it is certain that the owner did not accept the work.
+# Refusals after which it is certain that a call had no effect, so that it is retried.
 _NOT_ACCEPTED_KINDS = frozenset(
     {ErrorKind.NOT_OWNER, ErrorKind.NO_OWNER, ErrorKind.DRAINING}
 )
@@ -147,14 +147,14 @@
                     waiter.changed.set()
 
     def handle_identity_change(self) -> None:
-        """Let every request be submitted again, for results to reach the new member."""
+        """Let every request be submitted again, as this process is a new member."""
         for waiters in self._waiters.values():
             for waiter in waiters:
                 waiter.epoch = None
                 waiter.changed.set()
 
     async def run_request(self, submission: Submission) -> Result[WorkView, Refusal]:
-        """Run a request; return its outcome, at the latest after its deadline."""
+        """Run a request; return its outcome, or what is known of it at its deadline."""
         waiter = _Waiter(submission, submission.work_id)
         self._register(waiter)
         try:
@@ -235,7 +235,7 @@
         return views
 
     async def _submit_until_result(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
-        """Submit a request to each new owner of its partition until its result comes."""
+        """Submit a request to each new owner until it has a result or is refused."""
         while True:
             refusal = await self._submit_once(waiter)
             if waiter.view is not None:
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -27,7 +27,7 @@
 )
 from fuchsiadale.entry.router import new_work_id
 
-# Bounds of the fields of a submission. Names that end in ``_S`` are in seconds.
+# Bounds and defaults of the fields of a submission; names in ``_S`` are in seconds.
 MAX_CORES = 1024.0
 MAX_MEMORY_GB = 65536.0
 MAX_ACCELERATORS = 64
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -185,6 +185,11 @@
         return True
 
     def _record_worker_clock(self, report: WorkerReport) -> None:
+        """Record the worker's clock reading and when it was received.
+
+        Heartbeats return the reading to the worker, and the time until which a start
+        may take effect is computed from it.
+        """
         self._worker_clock_s = report.clock_s
         self._worker_clock_received_s = self._clock.now()
 
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -277,6 +277,10 @@
 def test_two_isolated_owners_never_overfill_a_worker_or_run_work_twice(
     fencing: bool,
 ) -> None:
+    """Two hosts lose the store and their peers at once, but keep their workers.
+
+    Their partitions are taken over while they may still regard themselves as owners.
+    """
     faults = [
         Fault(kind, host, "worker-0", 2.0, 14.0)
         for host in HOSTS[:2]
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -18,7 +18,7 @@
 WITHDRAWAL_TIMEOUT_S = 10.0
 
 
-def test_withdrawn_key_is_rejected_by_isolated_entries_too() -> None:
+def test_entries_cut_off_from_the_store_stop_accepting_a_withdrawn_key() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             nodes = cluster.nodes
@@ -68,8 +68,8 @@
                 first.config.replace_from_files(files, base),
                 second.config.replace_from_files(files, base),
             )
-            winners = [each for each in outcomes if isinstance(each, Ok)]
-            losers = [each.unwrap_err() for each in outcomes if each.is_err()]
+            winners = [outcome for outcome in outcomes if isinstance(outcome, Ok)]
+            losers = [outcome.unwrap_err() for outcome in outcomes if outcome.is_err()]
             assert len(winners) == 1
             assert [refusal.kind for refusal in losers] == [ErrorKind.VERSION_CONFLICT]
             assert f"version {base + 1}" in losers[0].message
