--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -272,8 +272,9 @@
 ) -> dict[str, float] | None:
     """Return resources as JSON fields; None if `amounts` is unlimited.
 
-    The fields have the names and units of the configuration files. A resource is left
-    out if `limit` does not limit it, or `amounts` if `limit` is None.
+    The fields have the names and units of the configuration files. If `limit` is given,
+    only the resources that it limits are shown, otherwise those that `amounts` limits.
+    Connections are never shown.
     """
     if amounts == NO_LIMIT:
         return None
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -27,7 +27,8 @@
 from fuchsiadale.ids import IdSource
 from fuchsiadale.metrics import Counters
 
-# Largest HTTP body of a request; larger than a payload, which is part of the body.
+# Largest HTTP body in bytes. It is larger than the largest payload, because the payload
+# is longer when encoded as JSON or base64 and the body has further fields.
 MAX_BODY_BYTES = 2 * MAX_PAYLOAD_BYTES
 # Longest time in seconds for which a call may wait for the end of a job.
 MAX_JOB_WAIT_S = 60.0
@@ -64,7 +65,7 @@
     ids : IdSource
         Makes the ids of new work unique.
     is_refusing : callable
-        Returns whether this process refuses work because it is about to stop.
+        Returns whether this process refuses all calls because it is about to stop.
     """
 
     def __init__(
@@ -114,7 +115,7 @@
     ) -> Result[Submission, Refusal]:
         """Check the caller's rights, then parse the body.
 
-        `kind` is None for a job, whose body names its kind.
+        `kind` is None for a job: its body names the kind, by default a batch.
         """
         authorized = self._authorize(request)
         if isinstance(authorized, Err):
@@ -166,7 +167,8 @@
     ) -> Result[WorkView, Refusal]:
         """Return a job of the caller's own team.
 
-        Waits up to `hold_s` seconds for the end of the job.
+        Waits up to `hold_s` seconds for the end of the job. A job of another team is
+        refused as ``NOT_FOUND``, as if it did not exist.
         """
         team = self._authenticate(request)
         if isinstance(team, Err):
@@ -197,17 +199,20 @@
             return Err(
                 Refusal(ErrorKind.NOT_FOUND, f"there is no queue {queue_name!r}")
             )
-        team = self._authenticate_for_queue(queue, queue_name, request)
+        team = self._check_queue_access(queue, queue_name, request)
         if isinstance(team, Err):
             return team
         idempotency_key = request.headers.get(IDEMPOTENCY_HEADER, "")
         caller = Caller(team.ok_value, queue_name, idempotency_key)
         return Ok(_AuthorizedCaller(caller, configuration))
 
-    def _authenticate_for_queue(
+    def _check_queue_access(
         self, queue: QueueConfig, queue_name: str, request: web.Request
     ) -> Result[str, Refusal]:
-        """Return the caller's team; empty if the queue is open and no key was given."""
+        """Return the caller's team if it may use the queue.
+
+        The team is empty if the queue is open and no key was given.
+        """
         if queue.open and "Authorization" not in request.headers:
             return Ok("")
         team = self._authenticate(request)
@@ -234,13 +239,17 @@
         return Ok(team)
 
     def _check_availability(self) -> Refusal | None:
-        """Return the refusal for all calls while this entry must not accept any."""
+        """Return the refusal for every call while this entry must refuse them all.
+
+        It must while it is stopping or its configuration is stale; otherwise the result
+        is None.
+        """
         if self._is_refusing():
             return Refusal(
                 ErrorKind.DRAINING, "this entry is about to stop and accepts no calls"
             )
         if not self._config.freshness.is_fresh():
-            message = "the configuration was not confirmed recently enough"
+            message = "this entry's configuration was not confirmed recently enough"
             return Refusal(ErrorKind.CONFIG_STALE, message)
         return None
 
--- a/src/fuchsiadale/entry/config_driver.py
+++ b/src/fuchsiadale/entry/config_driver.py
@@ -137,8 +137,9 @@
         -------
         Result
             The document now in force, or a refusal: ``CONFIG_INVALID`` with every
-            problem of the files, ``VERSION_CONFLICT`` if another version is in force,
-            ``STORE_UNAVAILABLE`` or ``OUTCOME_UNKNOWN``.
+            problem of the files or, if they have none, of the change;
+            ``VERSION_CONFLICT`` if another version is in force; ``STORE_UNAVAILABLE``
+            if nothing was changed; ``OUTCOME_UNKNOWN`` if the change may be stored.
         """
         checked = read_configuration(files)
         if isinstance(checked, Err):
@@ -191,7 +192,10 @@
     async def _fetch_latest(
         self, base_version: int | None
     ) -> Result[ConfigDocument, Refusal]:
-        """Return the newest stored document; refuse if it is not `base_version`."""
+        """Put the newest stored document in force and return it.
+
+        Refuses if `base_version` is given and is not the version of the document.
+        """
         head = await self._read_head()
         if isinstance(head, Err):
             return Err(_store_unavailable())
@@ -297,7 +301,9 @@
 
 
 def _store_unavailable() -> Refusal:
-    message = "the store is not reachable; nothing was changed"
+    message = (
+        "the store did not return or accept the configuration; nothing was changed"
+    )
     return Refusal(ErrorKind.STORE_UNAVAILABLE, message)
 
 
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -33,7 +33,7 @@
 
     Rendezvous hashing assigns each team an aggregator, one of the members. Every member
     reports to the aggregator what the team uses in its own partitions, and the reply
-    holds the total over all members.
+    holds the sum of the last reports of all members.
 
     Parameters
     ----------
@@ -44,11 +44,11 @@
     peers : PeerSet
         The connections to the other members.
     config : ConfigDriver
-        The configuration, which newer documents of peers update.
+        Holds the configuration and applies newer documents from peers.
     ownership : OwnershipDriver
         The partitions that this member owns.
     worker_list : WorkerList
-        The capacity of all workers.
+        Gives the total capacity of the workers.
     clock : Clock
         Gives the time at which a request is sent.
     counters : Counters
@@ -182,7 +182,11 @@
             self._total_usage[team] = self._sum_reports(team)
 
     def _apply_total_usage(self) -> None:
-        """Pass to each partition's scheduler what the teams use in other partitions."""
+        """Update the usage by which each scheduler orders the teams.
+
+        Sets the fleet's capacity and the dominant share that each team uses in other
+        partitions, then drops teams without usage from the totals.
+        """
         capacity = self._worker_list.capacity
         for driver in self._ownership.drivers.values():
             scheduler = driver.partition.scheduler
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -1,4 +1,4 @@
-"""Raises, lowers and returns the grants of the partitions that this member owns."""
+"""Raises, lowers and releases the grants of the partitions that this member owns."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 
 # Seconds between two updates of all grants.
 GRANT_UPDATE_PERIOD_S = 0.1
-# How many seconds a grant must be larger than needed before the excess is returned.
-IDLE_GRANT_RETURN_DELAY_S = 10.0
+# How many seconds a grant must be larger than needed before the excess is released.
+IDLE_GRANT_RELEASE_DELAY_S = 10.0
 # Seconds until the next try after a grant was too small or a row was not read.
 GRANT_RETRY_DELAY_S = 1.0
 
@@ -71,7 +71,13 @@
 
 @define
 class _PartitionGrants:
-    """What is known of the grants of one partition, by team name."""
+    """What is known of the grants of one partition.
+
+    Attributes
+    ----------
+    by_team : dict of str to _GrantState
+        The grant of each team, by team name.
+    """
 
     by_team: dict[str, _GrantState] = field(factory=dict)
 
@@ -86,7 +92,8 @@
     clock : Clock
         Measures the delays.
     counters : Counters
-        Counts grants that are too small and rows that are not read or written.
+        Counts grants that are too small, rows that cannot be decoded or hold the limit
+        of a newer configuration, and failed writes.
     get_document : callable
         Returns the configuration document in force.
     get_drivers : callable
@@ -117,7 +124,7 @@
     def add_partition(self, driver: PartitionDriver) -> None:
         """Add a partition, with empty grants for all teams that have a limit.
 
-        It runs no tasks of these teams until the rows of the teams have been read.
+        The partition runs no tasks of these teams until their rows have been read.
         """
         self._partitions[driver] = _PartitionGrants()
         for name, team in self._get_document().configuration.teams.items():
@@ -126,7 +133,11 @@
                 driver.partition.scheduler.set_grant(name, NO_RESOURCES)
 
     def handle_config_change(self) -> None:
-        """Apply the teams' shares, and limits that are new or were removed."""
+        """Apply the teams' shares, and limits that are new or were removed.
+
+        A team with a new limit gets an empty grant until its row is read. Changed
+        limits are applied by `update_grants`.
+        """
         for driver in self._get_drivers().values():
             scheduler = driver.partition.scheduler
             for name, team in self._get_document().configuration.teams.items():
@@ -199,7 +210,7 @@
             state.idle_since_s = None
             await self._raise_grant(driver, name, team, state, version, wanted)
         else:
-            await self._return_idle_grant(driver, name, team, state, used)
+            await self._release_idle_grant(driver, name, team, state, used)
 
     async def _raise_grant(
         self,
@@ -210,7 +221,11 @@
         version: int,
         wanted: Resources,
     ) -> None:
-        """Set the limit in force in the team's row and raise the grant to `wanted`."""
+        """Set the limit in force in the team's row; raise the grant towards `wanted`.
+
+        If the row does not allow `wanted`, the next update of the grant waits for the
+        retry delay.
+        """
 
         def raise_in_row(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
             with_limit = apply_limit(row, team.limit, version)
@@ -227,19 +242,23 @@
             driver.kick()
 
     async def _lower_grant(
-        self, driver: PartitionDriver, name: str, state: _GrantState, ceiling: Resources
+        self,
+        driver: PartitionDriver,
+        name: str,
+        state: _GrantState,
+        max_grant: Resources,
     ) -> None:
-        """Lower a grant to `ceiling`, first in the scheduler and then in the row."""
-        driver.partition.scheduler.set_grant(name, ceiling)
+        """Lower a grant to `max_grant`, first in the scheduler and then in the row."""
+        driver.partition.scheduler.set_grant(name, max_grant)
 
         def lower_in_row(row: TeamGrants) -> Result[TeamGrants, TableFailure]:
-            return Ok(lower_grant(row, driver.name, ceiling))
+            return Ok(lower_grant(row, driver.name, max_grant))
 
         await self._update_row(
             driver, name, state, NO_LIMIT, state.limit_version, lower_in_row
         )
 
-    async def _return_idle_grant(
+    async def _release_idle_grant(
         self,
         driver: PartitionDriver,
         name: str,
@@ -247,23 +266,24 @@
         state: _GrantState,
         used: Resources,
     ) -> None:
-        """Lower a grant that has been larger than needed for the return delay.
+        """Lower a grant that has been larger than needed for the release delay.
 
-        A team in use keeps its usage and one chunk of its limit.
+        The grant of a team that uses resources is lowered to its usage plus one chunk
+        of the limit, that of a team without usage to nothing.
         """
         reserve = team.limit.scaled_by_ratio(
             Resources(1, 1, 1, 1, 1), Resources(*[GRANT_CHUNKS_PER_LIMIT] * 5)
         )
-        ceiling = used + reserve if used != NO_RESOURCES else NO_RESOURCES
-        if state.grant.fits_in(ceiling):
+        max_grant = used + reserve if used != NO_RESOURCES else NO_RESOURCES
+        if state.grant.fits_in(max_grant):
             state.idle_since_s = None
             return
         now_s = self._clock.now()
         if state.idle_since_s is None:
             state.idle_since_s = now_s
-        if now_s - state.idle_since_s >= IDLE_GRANT_RETURN_DELAY_S:
+        if now_s - state.idle_since_s >= IDLE_GRANT_RELEASE_DELAY_S:
             state.idle_since_s = None
-            await self._lower_grant(driver, name, state, ceiling)
+            await self._lower_grant(driver, name, state, max_grant)
 
     async def _update_row(
         self,
@@ -313,7 +333,7 @@
     def _apply_row(
         self, driver: PartitionDriver, name: str, state: _GrantState, row: TeamGrants
     ) -> None:
-        """Limit the scheduler to the grant that is certainly stored in the row."""
+        """Limit the scheduler to the stored grant, or the ceiling if that is lower."""
         grant = row.grants.get(driver.name, NO_RESOURCES)
         state.grant = grant
         state.ceiling = row.ceilings.get(driver.name)
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -31,9 +31,9 @@
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work; return its id, or that of earlier work with the same key.
+        """Submit work; return its id, or that of work with the same idempotency key.
 
-        `reply_to` is the member whose caller waits for the result.
+        The result of a request is sent to the member `reply_to`; a job does not use it.
         """
         driver = self._find_driver(partition_of_work_id(submission.work_id))
         if isinstance(driver, Err):
@@ -43,7 +43,11 @@
     async def cancel(
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
-        """Cancel work, unless a caller of a member other than `member` waits for it."""
+        """Cancel work and return its view.
+
+        Work is not cancelled while a caller of a member other than `member` waits for
+        its result. `member` is empty for a job.
+        """
         driver = self._find_driver(partition_of_work_id(work_id))
         if isinstance(driver, Err):
             return driver
--- a/src/fuchsiadale/entry/peer_set.py
+++ b/src/fuchsiadale/entry/peer_set.py
@@ -13,7 +13,9 @@
 
 
 class PeerSet:
-    """Connects to every other member and fetches the results that they hold.
+    """Connects to every other member and fetches results from it.
+
+    These are the results of requests whose callers wait at this process.
 
     Parameters
     ----------
--- a/src/fuchsiadale/entry/responses.py
+++ b/src/fuchsiadale/entry/responses.py
@@ -34,7 +34,10 @@
 
 
 def refusal_response(refusal: Refusal, work_id: str = "") -> web.Response:
-    """Return the HTTP response for a refusal, as its error kind determines it."""
+    """Return the HTTP response for a refusal.
+
+    The error kind determines the status, the outcome and the retry delay.
+    """
     response = refusal.error_response
     body = JsonBody(
         {"error": refusal.kind.value, "outcome": response.execution_outcome.value}
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -22,7 +22,8 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.peers.gateway import Gateway
 
-# Seconds between two tries to reach an owner, unless an owner changes before.
+# Longest time in seconds between two tries to reach an owner. A change of an owner
+# ends the wait.
 OWNER_CHANGE_WAIT_S = 0.2
 # Seconds for which the submission of a job is retried.
 JOB_SUBMISSION_TIMEOUT_S = 10.0
@@ -34,7 +35,7 @@
     {ErrorKind.NOT_OWNER, ErrorKind.NO_OWNER, ErrorKind.DRAINING}
 )
 
-PendingView = Awaitable[Result[WorkView, Refusal]]
+AwaitableView = Awaitable[Result[WorkView, Refusal]]
 GatewayFinder = Callable[[Owner], Gateway | None]
 
 
@@ -49,11 +50,11 @@
     work_id : str
         Id of the work whose result is awaited. It is not that of the submission if the
         idempotency key was used before.
-    may_be_accepted : bool
+    may_have_been_accepted : bool
         Whether an owner has accepted the work or may have accepted it.
     epoch : int or None
-        Epoch of the owner that accepted the work; None if the work must be submitted
-        again.
+        Epoch of the owner that accepted the work; None if the work has not been
+        submitted yet or must be submitted again.
     view : WorkView or None
         The result; None before it is known.
     changed : asyncio.Event
@@ -62,7 +63,7 @@
 
     submission: Submission
     work_id: str
-    may_be_accepted: bool = False
+    may_have_been_accepted: bool = False
     epoch: int | None = None
     view: WorkView | None = None
     changed: asyncio.Event = field(factory=asyncio.Event)
@@ -86,17 +87,22 @@
     key : str
         The idempotency key; empty for none.
     unique_id : str
-        An identifier that was never used.
+        An identifier that no other work has; it becomes the last part of the id.
+
+    Returns
+    -------
+    str
+        The id: the name of the partition, a dot and `unique_id`.
     """
     index = slice_index_of(f"{team}/{key}" if key else unique_id, slices)
     return f"{partition_name(pool, index)}.{unique_id}"
 
 
 class Router:
-    """Submits work to its owner, again after a failure, until the outcome is known.
+    """Submits work to the owner of its partition; retries until the outcome is known.
 
     A submission keeps its id when it is sent again. So the owner of its partition
-    accepts it only once, no matter which of the attempts arrive.
+    accepts it only once, no matter how often it arrives.
 
     Parameters
     ----------
@@ -139,7 +145,7 @@
             waiter.changed.set()
 
     def handle_owner_change(self) -> None:
-        """Let requests be submitted again whose partition has a new owner."""
+        """Wake the callers whose partition has a new owner, to submit to it."""
         for waiters in self._waiters.values():
             for waiter in waiters:
                 owner = self._find_owner(waiter.work_id)
@@ -147,7 +153,10 @@
                     waiter.changed.set()
 
     def handle_identity_change(self) -> None:
-        """Let every request be submitted again, as this process is a new member."""
+        """Submit every request again after this process has become a new member.
+
+        The owners then send the results to the new member.
+        """
         for waiters in self._waiters.values():
             for waiter in waiters:
                 waiter.epoch = None
@@ -169,28 +178,30 @@
         """Submit a job; return its id once its owner has recorded it in the journal."""
         expires_at_s = self._clock.now() + JOB_SUBMISSION_TIMEOUT_S
         last_refusal = Refusal(
-            ErrorKind.NO_OWNER, "no host owns the partition at present"
+            ErrorKind.NO_OWNER, "this entry reaches no owner of the partition"
         )
-        may_be_accepted = False
+        may_have_been_accepted = False
         while self._clock.now() < expires_at_s:
             gateway = self._find_owner_gateway(submission.work_id)
             if gateway is not None:
-                attempt = evolve(submission, resubmitted=may_be_accepted)
-                outcome = await gateway.submit(attempt, self._identity.member)
+                submitted = evolve(submission, resubmitted=may_have_been_accepted)
+                outcome = await gateway.submit(submitted, self._identity.member)
                 if isinstance(outcome, Ok):
                     return outcome
                 last_refusal = outcome.err_value
                 if last_refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
-                    may_be_accepted = True
+                    may_have_been_accepted = True
                 elif (
-                    last_refusal.kind not in _NOT_ACCEPTED_KINDS and not may_be_accepted
+                    last_refusal.kind not in _NOT_ACCEPTED_KINDS
+                    and not may_have_been_accepted
                 ):
                     return outcome
                 self._counters.add(f"router.retried.{last_refusal.kind.value}")
             await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
-        if may_be_accepted:
+        if may_have_been_accepted:
             message = (
-                f"job {submission.work_id} may have been recorded; ask for it later"
+                f"job {submission.work_id} may have been recorded; query its state"
+                " before submitting it again"
             )
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
         return Err(last_refusal)
@@ -235,7 +246,11 @@
         return views
 
     async def _submit_until_result(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
-        """Submit a request to each new owner until it has a result or is refused."""
+        """Submit a request until its result is known.
+
+        A refusal is returned only if the work was certainly never accepted and a retry
+        would not help. Once the work may have been accepted, every refusal is retried.
+        """
         while True:
             refusal = await self._submit_once(waiter)
             if waiter.view is not None:
@@ -246,19 +261,25 @@
                 continue
             self._counters.add(f"router.retried.{refusal.kind.value}")
             if refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
-                waiter.may_be_accepted = True
-            elif refusal.kind not in _NOT_ACCEPTED_KINDS and not waiter.may_be_accepted:
+                waiter.may_have_been_accepted = True
+            elif (
+                refusal.kind not in _NOT_ACCEPTED_KINDS
+                and not waiter.may_have_been_accepted
+            ):
                 return Err(refusal)
             await self._directory.wait_for_change(OWNER_CHANGE_WAIT_S)
 
     async def _submit_once(self, waiter: _Waiter) -> Refusal | None:
         """Submit a request once, unless the present owner has already accepted it.
 
-        Returns the refusal, or None if the work is accepted.
+        Returns the refusal, or None if the present owner has accepted the work, now or
+        earlier.
         """
         owner = self._find_owner(waiter.work_id)
         if owner is None:
-            return Refusal(ErrorKind.NO_OWNER, "no host owns the partition at present")
+            return Refusal(
+                ErrorKind.NO_OWNER, "this entry reaches no owner of the partition"
+            )
         if owner.epoch == waiter.epoch:
             return None
         gateway = self._find_gateway(owner)
@@ -266,11 +287,11 @@
             return Refusal(
                 ErrorKind.NO_OWNER, "the partition's owner cannot be reached"
             )
-        attempt = evolve(waiter.submission, resubmitted=waiter.may_be_accepted)
-        outcome = await gateway.submit(attempt, self._identity.member)
+        submitted = evolve(waiter.submission, resubmitted=waiter.may_have_been_accepted)
+        outcome = await gateway.submit(submitted, self._identity.member)
         if isinstance(outcome, Err):
             return outcome.err_value
-        waiter.may_be_accepted = True
+        waiter.may_have_been_accepted = True
         waiter.epoch = owner.epoch
         if outcome.ok_value != waiter.work_id:
             await self._switch_to_earlier_work(waiter, outcome.ok_value, gateway)
@@ -294,12 +315,13 @@
     async def _resolve_timeout(self, waiter: _Waiter) -> Result[WorkView, Refusal]:
         """Return what is known of a request whose deadline has passed.
 
-        Work that may be accepted is cancelled if no other caller waits for it.
+        Work that may have been accepted is cancelled if no other caller of this process
+        waits for it. Its owner ignores this if callers of other members do.
         """
         if waiter.view is not None:
             return Ok(waiter.view)
         self._counters.add("router.timeout")
-        if not waiter.may_be_accepted:
+        if not waiter.may_have_been_accepted:
             message = "no host accepted the work before its deadline"
             return Err(Refusal(ErrorKind.TIMEOUT, message))
         if len(self._waiters.get(waiter.work_id, [])) == 1:
@@ -323,14 +345,15 @@
         return None
 
     async def _call_owner(
-        self, work_id: str, call: Callable[[Gateway], PendingView]
+        self, work_id: str, call: Callable[[Gateway], AwaitableView]
     ) -> Result[WorkView, Refusal]:
         """Call the owner of work; retry while its partition has no reachable owner."""
         expires_at_s = self._clock.now() + OWNER_CALL_TIMEOUT_S
+        # Every work id begins with the partition's name, which contains a dot.
         if "." not in partition_of_work_id(work_id):
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         last_refusal = Refusal(
-            ErrorKind.NO_OWNER, "no host owns the partition at present"
+            ErrorKind.NO_OWNER, "this entry reaches no owner of the partition"
         )
         while self._clock.now() < expires_at_s:
             gateway = self._find_owner_gateway(work_id)
--- a/src/fuchsiadale/entry/submission.py
+++ b/src/fuchsiadale/entry/submission.py
@@ -72,13 +72,13 @@
     body : bytes
         The JSON body.
     kind : WorkKind or None
-        The kind of work; None if the body names it.
+        The kind of work; None if the body names it, by default a batch.
     caller : Caller
         The caller and its queue.
     configuration : Configuration
         The configuration in force.
     unique_id : str
-        An identifier that was never used, from which the work's id is made.
+        An identifier that no other work has; it becomes the last part of the work's id.
 
     Returns
     -------
--- a/src/fuchsiadale/entry/worker_driver.py
+++ b/src/fuchsiadale/entry/worker_driver.py
@@ -1,4 +1,4 @@
-"""Keeps the session with one worker and sends it orders to start and stop."""
+"""Keeps the session with one worker; orders it to start and stop attempts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from fuchsiadale.decision.work import Attempt, AttemptEnd, TaskState
 from fuchsiadale.metrics import Counters
 
-# Seconds after a failed call until the next one.
+# Seconds until an adopt, heartbeat or stop call is retried after a failure.
 CALL_RETRY_DELAY_S = 0.25
 
 Callback = Callable[[], None]
@@ -161,6 +161,10 @@
         return True
 
     async def _heartbeat(self, hold_s: float, is_session_open: bool = True) -> bool:
+        """Send a heartbeat; return whether the worker answered.
+
+        The report is processed only if the session was open before.
+        """
         sent_s = self._clock.now()
         acknowledgements = self._acknowledgements
         self._acknowledgements = []
@@ -243,9 +247,10 @@
     def _handle_start_failure(
         self, orders: list[StartOrder], failure: CallFailure
     ) -> None:
-        """End the attempts of a start call that was not sent.
+        """Handle a failed start call.
 
-        If the call may have arrived, a later heartbeat reports whether they started.
+        If it was certainly not sent, its attempts end as not run. Otherwise a later
+        heartbeat reports whether they started.
         """
         self._record_failure("start", failure)
         if failure is not CallFailure.NOT_SENT:
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -1,6 +1,7 @@
 """Compares the outcomes that callers get with the runs on the workers, under faults.
 
-Up to four faults occur at once while callers send requests.
+Each random scenario injects one to four faults, which may overlap, while callers send
+requests.
 """
 
 from __future__ import annotations
@@ -39,7 +40,9 @@
     Attributes
     ----------
     kind : str
-        What fails.
+        What fails. "cut" means that one host loses a link. A lost call never arrives;
+        if the answer is lost, the call has taken effect. "store down" and lost calls
+        and answers of the store affect all hosts.
     host : str
         The entry host that it affects, if the kind affects one.
     worker : str
@@ -249,7 +252,8 @@
     run_virtually(run_scenario(faults))
 
 
-# Faults, found by the random test, under which callers were once told a wrong outcome.
+# Faults, found by random tests, under which a caller was once told that its work had
+# not run although it had run.
 FAULTS_OF_PAST_FAILURES = {
     "cancelled by an owner that had lost the partition": [
         Fault("cut store", "entry-2", "worker-2", 6.0, 5.0),
@@ -258,7 +262,7 @@
         Fault("worker leaves", "entry-1", "worker-1", 3.3, 0.3),
         Fault("cut store", "entry-1", "worker-3", 15.0, 14.0),
     ],
-    "cancelled while the worker of a former owner's run was unreachable": [
+    "cancelled while the worker that a former owner used was unreachable": [
         Fault("drain", "entry-2", "worker-0", 3.3, 2.0),
         Fault("lose worker answers", "entry-1", "worker-2", 2.0, 9.0),
         Fault("lose worker answers", "entry-1", "worker-3", 3.3, 9.0),
@@ -274,12 +278,13 @@
 
 
 @pytest.mark.parametrize("fencing", [True, False])
-def test_two_isolated_owners_never_overfill_a_worker_or_run_work_twice(
+def test_two_isolated_owners_never_overfill_a_worker_or_run_work_concurrently(
     fencing: bool,
 ) -> None:
     """Two hosts lose the store and their peers at once, but keep their workers.
 
     Their partitions are taken over while they may still regard themselves as owners.
+    Work that is not idempotent runs at most once, and runs of a task never overlap.
     """
     faults = [
         Fault(kind, host, "worker-0", 2.0, 14.0)
@@ -308,6 +313,7 @@
             assert {task.state for task in view.tasks} == {TaskState.SUCCEEDED}
             runs = cluster.runs_of(work_id + "/")
             assert len(runs) == 6
+            # Each of the three workers may receive its tasks in a batch of its own.
             assert len({run.started_s for run in runs}) <= 3
 
     run_virtually(session())
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -40,6 +40,7 @@
             )
             await cluster.until(
                 lambda: not nodes["entry-2"].config.freshness.is_fresh(),
+                # Isolated entries learn nothing; their configuration becomes stale.
                 WITHDRAWAL_TIMEOUT_S + 1.0,
             )
             assert nodes["entry-1"].config.freshness.is_fresh()
@@ -77,7 +78,7 @@
     run_virtually(session())
 
 
-def test_change_whose_answer_was_lost_is_reported_as_done() -> None:
+def test_change_is_reported_as_done_when_the_answer_of_the_store_is_lost() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             node = cluster.nodes["entry-0"]
@@ -112,7 +113,7 @@
     run_virtually(session())
 
 
-def test_configuration_never_reverts_over_restarts_and_outages() -> None:
+def test_configuration_never_reverts_through_restarts_and_outages() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             seen: dict[str, int] = {}
