--- a/src/fuchsiadale/decision/workflow/forecast.py
+++ b/src/fuchsiadale/decision/workflow/forecast.py
@@ -1,8 +1,10 @@
-"""Foretells how long jobs still take and when their objectives lapse.
+"""Predicts how long jobs still take and the deadlines by their objectives.
 
-A job's objective is its queue's stretch times the longest chain of its work, and the
-queue's slack. A step that is wider than a quarter of its pool, or than its workspace
-may run at once, counts in waves.
+The objective of a job is a bound on its duration: the stretch of its queue times the
+critical path of its steps, plus the slack of the queue. The critical path is the
+longest chain of dependent work. For the objective, a step with more tasks than a
+quarter of its pool can run at once, or than the limit of its workspace allows at once,
+counts as several waves in sequence.
 """
 
 from __future__ import annotations
@@ -14,131 +16,159 @@
 
 from fuchsiadale.decision.resources import NO_LIMIT, Resources
 from fuchsiadale.decision.workflow.configuration import Queue
-from fuchsiadale.decision.workflow.durations import Durations
+from fuchsiadale.decision.workflow.durations import DurationModel
 from fuchsiadale.decision.workflow.jobs import Job, Step
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.placement import places
+from fuchsiadale.decision.workflow.placement import count_fitting_tasks
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 WAVE_SHARE = 0.25
-"""Share of a pool that a step may take before it counts in waves, by contract."""
+"""Share of a pool that one wave of a step may take, by the contract with the users."""
 
 
 @frozen
-class _Outlook:
-    """What lies ahead of an occurrence after some tasks of its job were done."""
+class _OccurrenceForecast:
+    """Deadline and remaining work of an occurrence of a job.
+
+    Attributes
+    ----------
+    done_tasks : int
+        Number of tasks of the job that were done when the forecast was made.
+    due_s : float
+        Deadline of the occurrence by its objective, on the loop's clock.
+    critical_path_s : float
+        Length of the critical path of the work that is not done, in seconds.
+    work_s : float
+        Time for which the remaining work would fill the whole pool, in seconds.
+    """
 
     done_tasks: int
     due_s: float
-    chain_s: float
+    critical_path_s: float
     work_s: float
 
 
 class Forecast:
-    """Answers questions about what lies ahead, as far as is known when it is made.
+    """Predicts durations and deadlines.
+
+    The workers are those at its creation; ended tasks are taken into account as they
+    end.
 
     Parameters
     ----------
-    durations : Durations
-        What was learnt of tasks' durations.
-    workers : dict of str to list of WorkerLedger
-        The workers of each pool.
+    durations : DurationModel
+        The model that predicts the durations of tasks.
+    workers : dict of str to list of TrackedWorker
+        The workers, by pool.
     limit_of : callable
-        Returns the limit of a workspace.
+        Returns the resources that a workspace may use at once.
     """
 
     def __init__(
         self,
-        durations: Durations,
-        workers: dict[str, list[WorkerLedger]],
+        durations: DurationModel,
+        workers: dict[str, list[TrackedWorker]],
         limit_of: Callable[[str], Resources],
     ) -> None:
         self._durations = durations
         self._workers = workers
         self._limit_of = limit_of
-        self._places: dict[tuple[str, Resources], int] = {}
-        self._step_s: dict[Step, float] = {}
-        self._outlooks: dict[tuple[str, int], _Outlook] = {}
-
-    def step_s(self, step: Step) -> float:
-        """Return how long a task of a step takes, in seconds."""
-        if step.ended_runs:
-            return step.ended_runs_s / step.ended_runs
-        known_s = self._step_s.get(step)
-        if known_s is None:
+        self._pool_places_cache: dict[tuple[str, Resources], int] = {}
+        self._predicted_task_s: dict[Step, float] = {}
+        self._occurrence_forecasts: dict[tuple[str, int], _OccurrenceForecast] = {}
+
+    def predict_task_s(self, step: Step) -> float:
+        """Return the expected duration of a task of a step, in seconds."""
+        if step.measured_runs:
+            return step.measured_runs_total_s / step.measured_runs
+        predicted_s = self._predicted_task_s.get(step)
+        if predicted_s is None:
             queue = step.job.record.queue
             estimated_s = step.specification.estimated_s
-            known_s = self._durations.expect_s(queue, estimated_s)
-            self._step_s[step] = known_s
-        return known_s
+            predicted_s = self._durations.predict_s(queue, estimated_s)
+            self._predicted_task_s[step] = predicted_s
+        return predicted_s
 
     def due_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return when an occurrence's objective lapses, on the loop's clock."""
-        return self._outlook(job, occurrence, queue).due_s
+        """Return the objective's deadline of an occurrence, on the loop's clock."""
+        return self._forecast_occurrence(job, occurrence, queue).due_s
 
-    def remaining_chain_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return the longest chain of work that is not done, in seconds."""
-        return self._outlook(job, occurrence, queue).chain_s
+    def remaining_critical_path_s(
+        self, job: Job, occurrence: int, queue: Queue
+    ) -> float:
+        """Return the length of the critical path of unfinished steps, in seconds."""
+        return self._forecast_occurrence(job, occurrence, queue).critical_path_s
 
     def remaining_work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
-        """Return the seconds for which remaining work would fill the whole pool."""
-        return self._outlook(job, occurrence, queue).work_s
+        """Return how long unfinished tasks would fill the whole pool, in seconds."""
+        return self._forecast_occurrence(job, occurrence, queue).work_s
 
-    def _outlook(self, job: Job, occurrence: int, queue: Queue) -> _Outlook:
+    def _forecast_occurrence(
+        self, job: Job, occurrence: int, queue: Queue
+    ) -> _OccurrenceForecast:
         key = (job.record.job_id, occurrence)
-        known = self._outlooks.get(key)
-        if known is None or known.done_tasks != job.done_tasks:
-            whole_s = self._longest_chain_s(job, occurrence, queue, is_whole=True)
-            begin_s = job.occurrence_begins_s(occurrence)
-            known = _Outlook(
+        cached = self._occurrence_forecasts.get(key)
+        if cached is None or cached.done_tasks != job.done_tasks:
+            total_s = self._critical_path_s(job, occurrence, queue, from_start=True)
+            begins_s = job.occurrence_start_s(occurrence)
+            cached = _OccurrenceForecast(
                 job.done_tasks,
-                begin_s + queue.stretch * whole_s + queue.slack_s,
-                self._longest_chain_s(job, occurrence, queue, is_whole=False),
-                self._work_s(job, occurrence, queue),
+                begins_s + queue.stretch * total_s + queue.slack_s,
+                self._critical_path_s(job, occurrence, queue, from_start=False),
+                self._remaining_work_s(job, occurrence, queue),
             )
-            self._outlooks[key] = known
-        return known
+            self._occurrence_forecasts[key] = cached
+        return cached
 
-    def _work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
+    def _remaining_work_s(self, job: Job, occurrence: int, queue: Queue) -> float:
         work_s = 0.0
         for step in job.occurrence_steps(occurrence):
-            left = len(step.tasks) - step.done_count
-            room = self._room(queue.pool, step.specification.charged)
-            work_s += left * self.step_s(step) / max(room, 1)
+            remaining_tasks = len(step.tasks) - step.done_count
+            pool_places = self._count_pool_places(
+                queue.pool, step.specification.charged
+            )
+            work_s += remaining_tasks * self.predict_task_s(step) / max(pool_places, 1)
         return work_s
 
-    def _longest_chain_s(
-        self, job: Job, occurrence: int, queue: Queue, is_whole: bool
+    def _critical_path_s(
+        self, job: Job, occurrence: int, queue: Queue, from_start: bool
     ) -> float:
+        """Return the length of the critical path of an occurrence, in seconds.
+
+        With `from_start`, all steps count, in waves; otherwise only unfinished steps
+        count, each with the duration of one task.
+        """
         lengths: list[float] = []
         for step in job.occurrence_steps(occurrence):
-            before = max(
+            predecessors_s = max(
                 (lengths[index] for index in step.specification.after), default=0.0
             )
             own_s = 0.0
-            if is_whole:
-                own_s = self.step_s(step) * self._waves(step, queue)
+            if from_start:
+                own_s = self.predict_task_s(step) * self._count_waves(step, queue)
             elif not step.is_done:
-                own_s = self.step_s(step)
-            lengths.append(before + own_s)
+                own_s = self.predict_task_s(step)
+            lengths.append(predecessors_s + own_s)
         return max(lengths, default=0.0)
 
-    def _waves(self, step: Step, queue: Queue) -> int:
+    def _count_waves(self, step: Step, queue: Queue) -> int:
         specification = step.specification
-        room = self._room(queue.pool, specification.charged)
-        at_once = WAVE_SHARE * room
+        pool_places = self._count_pool_places(queue.pool, specification.charged)
+        concurrent_tasks = WAVE_SHARE * pool_places
         limit = self._limit_of(step.job.record.workspace)
         if limit != NO_LIMIT:
-            at_once = min(at_once, places(limit, specification.request))
-        return ceil(specification.count / max(at_once, 1.0))
+            concurrent_tasks = min(
+                concurrent_tasks, count_fitting_tasks(limit, specification.request)
+            )
+        return ceil(specification.count / max(concurrent_tasks, 1.0))
 
-    def _room(self, pool: str, needed: Resources) -> int:
-        """Return how many such tasks a pool can run at once."""
+    def _count_pool_places(self, pool: str, needed: Resources) -> int:
+        """Return how many tasks that need `needed` each a pool can run at once."""
         key = (pool, needed)
-        room = self._places.get(key)
-        if room is None:
-            room = sum(
-                places(worker.entry.capacity, needed)
+        pool_places = self._pool_places_cache.get(key)
+        if pool_places is None:
+            pool_places = sum(
+                count_fitting_tasks(worker.entry.capacity, needed)
                 for worker in self._workers.get(pool, ())
             )
-            self._places[key] = room
-        return room
+            self._pool_places_cache[key] = pool_places
+        return pool_places
--- a/src/fuchsiadale/decision/workflow/placement.py
+++ b/src/fuchsiadale/decision/workflow/placement.py
@@ -1,4 +1,4 @@
-"""Chooses workers for tasks, and for all tasks of a gang at once."""
+"""Chooses workers for single tasks and for whole gangs."""
 
 from __future__ import annotations
 
@@ -6,49 +6,58 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
-FAILED_HERE_PENALTY = 100.0
-"""Score added where the task has failed before; above every other term."""
+EARLIER_FAILURE_PENALTY = 100.0
+"""Penalty on a worker where the task failed before; outweighs all other penalties."""
 
-CROWDING_PENALTY = 10.0
-"""Score added where filling and serving tasks would disturb each other."""
+INTERFERENCE_PENALTY = 10.0
+"""Penalty where filler and serving tasks would disturb each other on a worker."""
 
-REMOTE_PENALTY = 1.0
-"""Score added outside the preferred rack; above any difference in fit."""
+OTHER_RACK_PENALTY = 1.0
+"""Penalty outside the preferred rack; outweighs any difference in fit."""
 
 
-def is_suitable(step: Step, worker: WorkerLedger) -> bool:
-    """Tell whether a worker could ever run a task of a step."""
-    needed = step.specification
-    if needed.required_label and needed.required_label not in worker.entry.labels:
+def is_suitable(step: Step, worker: TrackedWorker) -> bool:
+    """Tell whether a worker, if empty, could run a task of a step."""
+    requirements = step.specification
+    if (
+        requirements.required_label
+        and requirements.required_label not in worker.entry.labels
+    ):
         return False
-    return needed.charged.fits_in(worker.entry.capacity)
+    return requirements.charged.fits_in(worker.entry.capacity)
 
 
 def choose_worker(
-    task: Task, workers: Iterable[WorkerLedger], kept_share: float = 0.0
-) -> WorkerLedger | None:
-    """Return the worker with room that fits a task best, or None.
+    task: Task, workers: Iterable[TrackedWorker], headroom_share: float = 0.0
+) -> TrackedWorker | None:
+    """Return the worker that fits a task best.
 
-    Best fit keeps whole workers free for tasks that need one.
+    Best fit leaves whole workers free for the tasks that need one.
 
     Parameters
     ----------
     task : Task
-        The task.
-    workers : iterable of WorkerLedger
-        The workers that may run it.
-    kept_share : float, default=0.0
-        Share of a worker's processors and memory that has to stay free.
+        The task to place.
+    workers : iterable of TrackedWorker
+        The workers that may run the task.
+    headroom_share : float, default=0.0
+        Share of a worker's processors and memory that must stay free, unless the
+        worker has no runs.
+
+    Returns
+    -------
+    best : TrackedWorker or None
+        The worker; None if no worker has room and keeps the headroom.
     """
     step = task.step
-    best: WorkerLedger | None = None
+    best: TrackedWorker | None = None
     best_score = float("inf")
     for worker in workers:
         if not _has_room(step, worker, worker.free, 0):
             continue
-        if kept_share and not _keeps(step, worker, kept_share):
+        if headroom_share and not _leaves_headroom(step, worker, headroom_share):
             continue
         score = _score(task, worker)
         if score < best_score:
@@ -56,32 +65,44 @@
     return best
 
 
-def choose_gang(
-    tasks: list[Task], workers: Iterable[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
-    """Return workers for all tasks of a gang, or None if they do not fit at once.
+def choose_gang_workers(
+    tasks: list[Task], workers: Iterable[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
+    """Return a worker for each task of a gang.
+
+    If the tasks are slow when spread over racks, each single rack is tried first.
 
-    Members that are slow over several racks are tried on one rack first.
+    Parameters
+    ----------
+    tasks : list of Task
+        All tasks of the gang.
+    workers : iterable of TrackedWorker
+        The workers that may run the tasks.
+
+    Returns
+    -------
+    placements : list of tuple of Task and TrackedWorker, or None
+        The tasks with their workers; None if the tasks do not all fit at once.
     """
     candidates = list(workers)
     if tasks[0].step.specification.same_rack:
         for rack in sorted({worker.rack for worker in candidates}):
             on_rack = [worker for worker in candidates if worker.rack == rack]
-            placements = _fit_all(tasks, on_rack)
+            placements = _place_all(tasks, on_rack)
             if placements is not None:
                 return placements
-    return _fit_all(tasks, candidates)
+    return _place_all(tasks, candidates)
 
 
-def _fit_all(
-    tasks: list[Task], workers: list[WorkerLedger]
-) -> list[tuple[Task, WorkerLedger]] | None:
+def _place_all(
+    tasks: list[Task], workers: list[TrackedWorker]
+) -> list[tuple[Task, TrackedWorker]] | None:
     step = tasks[0].step
     free: dict[str, Resources] = {
         worker.entry.worker_id: worker.free for worker in workers
     }
-    placed: dict[str, int] = {}
-    placements: list[tuple[Task, WorkerLedger]] = []
+    placed_counts: dict[str, int] = {}
+    placements: list[tuple[Task, TrackedWorker]] = []
     for task in tasks:
         options = [
             worker
@@ -90,7 +111,7 @@
                 step,
                 worker,
                 free[worker.entry.worker_id],
-                placed.get(worker.entry.worker_id, 0),
+                placed_counts.get(worker.entry.worker_id, 0),
             )
         ]
         if not options:
@@ -98,60 +119,65 @@
         worker = min(options, key=lambda option: _score(task, option))
         worker_id = worker.entry.worker_id
         free[worker_id] = free[worker_id] - step.specification.charged
-        placed[worker_id] = placed.get(worker_id, 0) + 1
+        placed_counts[worker_id] = placed_counts.get(worker_id, 0) + 1
         placements.append((task, worker))
     return placements
 
 
-def _has_room(step: Step, worker: WorkerLedger, free: Resources, placed: int) -> bool:
-    needed = step.specification
-    if not needed.charged.fits_in(free):
+def _has_room(
+    step: Step, worker: TrackedWorker, free: Resources, planned_here: int
+) -> bool:
+    requirements = step.specification
+    if not requirements.charged.fits_in(free):
         return False
-    if not needed.max_per_worker:
+    if not requirements.max_per_worker:
         return True
     name = step.name
-    present = worker.count_step(name.job_id, name.occurrence, name.step)
-    return present + placed < needed.max_per_worker
+    running_here = worker.count_step_runs(name.job_id, name.occurrence, name.step)
+    return running_here + planned_here < requirements.max_per_worker
 
 
-def _keeps(step: Step, worker: WorkerLedger, share: float) -> bool:
+def _leaves_headroom(step: Step, worker: TrackedWorker, share: float) -> bool:
     if not worker.runs:
         return True
-    left = worker.free - step.specification.charged
+    remaining = worker.free - step.specification.charged
     capacity = worker.entry.capacity
     return (
-        left.cpu_millis >= share * capacity.cpu_millis
-        and left.memory_mb >= share * capacity.memory_mb
+        remaining.cpu_millis >= share * capacity.cpu_millis
+        and remaining.memory_mb >= share * capacity.memory_mb
     )
 
 
-def _score(task: Task, worker: WorkerLedger) -> float:
-    needed = task.step.specification
-    left = worker.free - needed.charged
+def _score(task: Task, worker: TrackedWorker) -> float:
+    """Return the cost of placing a task on a worker; the lowest is best."""
+    requirements = task.step.specification
+    remaining = worker.free - requirements.charged
     capacity = worker.entry.capacity
-    score = left.dominant_share(capacity)
+    score = remaining.dominant_share(capacity)
     if worker.entry.worker_id in task.failed_on:
-        score += FAILED_HERE_PENALTY
-    if needed.preferred_rack and needed.preferred_rack != worker.rack:
-        score += REMOTE_PENALTY
-    if needed.is_filler and any(_serves(run.task) for run in worker.runs.values()):
-        score += CROWDING_PENALTY
-    if needed.target_s and any(
+        score += EARLIER_FAILURE_PENALTY
+    if requirements.preferred_rack and requirements.preferred_rack != worker.rack:
+        score += OTHER_RACK_PENALTY
+    if requirements.is_filler and any(
+        _is_serving(run.task) for run in worker.runs.values()
+    ):
+        score += INTERFERENCE_PENALTY
+    if requirements.target_s and any(
         run.task.step.specification.is_filler for run in worker.runs.values()
     ):
-        score += CROWDING_PENALTY
-    return score + worker.failure_score + worker.slowness
+        score += INTERFERENCE_PENALTY
+    return score + worker.failure_score + worker.slowdown
 
 
-def _serves(task: Task) -> bool:
+def _is_serving(task: Task) -> bool:
     return task.step.specification.target_s > 0.0
 
 
-def places(free: Resources, needed: Resources) -> int:
-    """Return how many tasks fit into some room."""
+def count_fitting_tasks(free: Resources, needed: Resources) -> int:
+    """Return how many tasks fit into free room; 1 if a task needs no resources."""
     counts = [
-        have // need
-        for have, need in (
+        available // need
+        for available, need in (
             (free.cpu_millis, needed.cpu_millis),
             (free.memory_mb, needed.memory_mb),
             (free.accelerators, needed.accelerators),
