--- a/src/fuchsiadale/cli/jobs.py
+++ b/src/fuchsiadale/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Callers' commands."""
+"""Commands for callers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 from fuchsiadale.cli.operators import ENTRY_OPTION
 from fuchsiadale.cli.output import (
     OUTPUT_OPTION,
-    fail,
+    exit_with_error,
+    get_body_or_exit,
     print_json,
     print_table,
-    require_ok,
 )
 
-LONGEST_WAIT_S = 30.0
+MAX_WAIT_PER_CALL_S = 30.0
+"""Longest time that one call waits for a job to end, in seconds."""
 
 KEY_OPTION = click.option(
-    "--key", envvar="FUCHSIADALE_KEY", default="", help="The team's key."
+    "--key", envvar="FUCHSIADALE_KEY", default="", help="Key of the team."
 )
 
 
 @click.group()
 def job() -> None:
-    """Submit, watch and end jobs."""
+    """Submit, show, wait for, cancel and list jobs."""
 
 
 @job.command("submit")
@@ -38,7 +39,7 @@
 @click.option("--cores", default=1.0, show_default=True)
 @click.option("--memory-gb", default=1.0, show_default=True)
 @click.option("--accelerators", default=0, show_default=True)
-@click.option("--run-s", default=0.0, help="Seconds that a task is said to run.")
+@click.option("--run-s", default=0.0, help="Expected run time of a task, in seconds.")
 @click.option("--urgent", is_flag=True)
 @click.option("--idempotent/--not-idempotent", default=True, show_default=True)
 @click.option("--idempotency-key", default="")
@@ -62,7 +63,7 @@
     key: str,
     output: str,
 ) -> None:
-    """Submit a job that runs PROGRAM by way of QUEUE; print its id."""
+    """Submit to QUEUE a job that runs PROGRAM, and print the job's id."""
     body = {
         "kind": kind,
         "program": program,
@@ -80,11 +81,11 @@
     reply = EntryClient(url, key).call(
         "POST", f"/v1/queues/{queue}/jobs", body, idempotency_key
     )
-    found = require_ok(reply)
+    accepted_job = get_body_or_exit(reply)
     if output == "json":
-        print_json(found)
+        print_json(accepted_job)
     else:
-        click.echo(found["work_id"])
+        click.echo(accepted_job["work_id"])
 
 
 @job.command("show")
@@ -95,7 +96,8 @@
 def show_job(work_id: str, url: str, key: str, output: str) -> None:
     """Show a job and its tasks."""
     _print_job(
-        require_ok(EntryClient(url, key).call("GET", f"/v1/jobs/{work_id}")), output
+        get_body_or_exit(EntryClient(url, key).call("GET", f"/v1/jobs/{work_id}")),
+        output,
     )
 
 
@@ -108,21 +110,25 @@
 def wait_for_job(
     work_id: str, timeout_s: float, url: str, key: str, output: str
 ) -> None:
-    """Wait until a job has ended; fail unless every task succeeded."""
+    """Wait until a job has ended; fail unless every task succeeds in time."""
     client = EntryClient(url, key)
-    left_s = timeout_s
+    remaining_s = timeout_s
     while True:
-        wait_s = min(left_s, LONGEST_WAIT_S)
+        wait_s = min(remaining_s, MAX_WAIT_PER_CALL_S)
         path = f"/v1/jobs/{work_id}?wait_s={wait_s:g}"
-        body = require_ok(client.call("GET", path))
-        left_s -= wait_s
-        if body["final"] or left_s <= 0:
+        body = get_body_or_exit(client.call("GET", path))
+        remaining_s -= wait_s
+        if body["final"] or remaining_s <= 0:
             break
     _print_job(body, output)
     if not body["final"]:
-        fail(f"job {work_id} has not ended", ExitCode.WORK_FAILED)
+        exit_with_error(
+            f"job {work_id} did not end before the timeout", ExitCode.WORK_FAILED
+        )
     if any(task["state"] != "succeeded" for task in body["tasks"]):
-        fail(f"not every task of job {work_id} succeeded", ExitCode.WORK_FAILED)
+        exit_with_error(
+            f"at least one task of job {work_id} did not succeed", ExitCode.WORK_FAILED
+        )
 
 
 @job.command("cancel")
@@ -131,9 +137,9 @@
 @KEY_OPTION
 @OUTPUT_OPTION
 def cancel_job(work_id: str, url: str, key: str, output: str) -> None:
-    """End a job; what has not started never runs."""
+    """Cancel a job; tasks that have not started never run."""
     reply = EntryClient(url, key).call("POST", f"/v1/jobs/{work_id}/cancel")
-    _print_job(require_ok(reply), output)
+    _print_job(get_body_or_exit(reply), output)
 
 
 @job.command("list")
@@ -142,18 +148,18 @@
 @OUTPUT_OPTION
 def list_jobs(url: str, key: str, output: str) -> None:
     """List the team's jobs."""
-    body = require_ok(EntryClient(url, key).call("GET", "/v1/jobs"))
+    body = get_body_or_exit(EntryClient(url, key).call("GET", "/v1/jobs"))
     if output == "json":
         print_json(body)
         return
     rows = [
         [
-            found["work_id"],
-            found["kind"],
-            found["queue"],
-            _summary(found["tasks"]),
+            listed_job["work_id"],
+            listed_job["kind"],
+            listed_job["queue"],
+            _summarize_states(listed_job["tasks"]),
         ]
-        for found in body["jobs"]
+        for listed_job in body["jobs"]
     ]
     print_table(["job", "kind", "queue", "tasks"], rows)
 
@@ -172,6 +178,6 @@
     print_table(["task", "state", "worker", "waited_s"], rows)
 
 
-def _summary(tasks: list[dict[str, Any]]) -> str:
+def _summarize_states(tasks: list[dict[str, Any]]) -> str:
     states = [task["state"] for task in tasks]
     return ", ".join(f"{states.count(state)} {state}" for state in sorted(set(states)))
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -1,4 +1,4 @@
-"""The `fuchsiadale` command."""
+"""The ``fuchsiadale`` command."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from fuchsiadale.cli.explain import explain
 from fuchsiadale.cli.jobs import job
 from fuchsiadale.cli.operators import config, keys, partition, team, worker
-from fuchsiadale.cli.output import fail, print_table
-from fuchsiadale.cli.serving import serve_until_stopped, stop_event
+from fuchsiadale.cli.output import exit_with_error, print_table
+from fuchsiadale.cli.serving import create_stop_event, serve_until_stopped
 from fuchsiadale.config.settings import Address, Settings, read_settings_file
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.entry.daemon import EntryDaemon
@@ -33,16 +33,16 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="fuchsiadale")
 def main() -> None:
-    """Schedule unlike workloads on a cluster.
+    """Schedule requests, batch jobs, gangs and services on a cluster.
 
-    Exit codes: 0 done; 1 refused; 2 wrong usage; 3 invalid settings or
-    configuration; 4 the entry was not reached; 5 the work did not succeed; 6 an
-    address cannot be listened on.
+    Exit codes: 0 success; 1 refused; 2 wrong usage; 3 invalid settings or
+    configuration; 4 no valid reply from the entry; 5 the work did not succeed; 6 the
+    process cannot listen on an address.
     """
 
 
-for _group in (config, explain, keys, job, team, partition, worker):
-    main.add_command(_group)
+for _command in (config, explain, keys, job, team, partition, worker):
+    main.add_command(_command)
 
 
 @main.command()
@@ -50,27 +50,36 @@
     "settings_file", type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
 def entry(settings_file: Path) -> None:
-    """Run the entry daemon with the settings in SETTINGS_FILE."""
+    """Run an entry with the settings in SETTINGS_FILE."""
     settings = read_settings_file(settings_file)
     if isinstance(settings, Err):
         lines = [str(problem) for problem in settings.err_value]
-        fail("\n".join(lines), ExitCode.INVALID)
+        exit_with_error("\n".join(lines), ExitCode.INVALID)
     log_to_stderr()
     asyncio.run(_serve_entry(settings.ok_value))
 
 
 @main.command()
-@click.option("--port", default=8800, show_default=True, help="0 for any free port.")
+@click.option(
+    "--port",
+    default=8800,
+    show_default=True,
+    help="Port for callers; 0 for any free port.",
+)
 @click.option(
     "--config",
     "folder",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="The operators' folder to apply.",
+    help="Folder of configuration files to apply.",
 )
-@click.option("--serve", is_flag=True, help="Stay up after the demonstration.")
+@click.option("--serve", is_flag=True, help="Keep running after the demonstration.")
 @click.option("--log", is_flag=True, help="Write the log to stderr.")
 def dev(port: int, folder: Path | None, serve: bool, log: bool) -> None:
-    """Run a whole system in this process and one piece of work of each kind."""
+    """Run an entry with a stand-in platform and workers, and a demonstration.
+
+    The demonstration runs one piece of work of each kind. The command then exits,
+    unless --serve is given.
+    """
     if log:
         log_to_stderr()
     options = DevOptions(Address(LOOPBACK, port), folder)
@@ -79,13 +88,13 @@
 
 @main.group("stand-in")
 def stand_in() -> None:
-    """Run stand-ins for what surrounds the system."""
+    """Run stand-ins for the platform and for backend servers."""
 
 
 @stand_in.command("platform")
 @click.option("--port", default=8700, show_default=True)
 def stand_in_platform(port: int) -> None:
-    """Run the platform's stand-in: table service, object store and host list."""
+    """Run a stand-in for the platform: table service, object store and host list."""
     asyncio.run(_serve_app(PlatformStandIn().make_app(), port))
 
 
@@ -94,7 +103,9 @@
 @click.option("--platform", "platform_url", default="http://127.0.0.1:8700")
 @click.option("--pool", required=True)
 @click.option(
-    "--prefix", default="", help="Begins the workers' names; the pool's name."
+    "--prefix",
+    default="",
+    help="Prefix of the workers' names; by default the pool's name.",
 )
 @click.option("--count", default=4, show_default=True)
 @click.option("--cores", default=16, show_default=True)
@@ -114,7 +125,7 @@
     slots: int,
     failure_domains: int,
 ) -> None:
-    """Run stand-in workers of one pool and enter them in the host list."""
+    """Run stand-in workers of one pool and add them to the host list."""
     shape = WorkerShape(cores, memory_gb, accelerators, slots)
     workers = make_workers(pool, count, shape, prefix, failure_domains)
     asyncio.run(_serve_workers(list(workers), port, platform_url))
@@ -124,12 +135,16 @@
     try:
         daemon = EntryDaemon(settings)
     except RuntimeError as error:
-        fail(f"cannot listen on {settings.peers}: {error}", ExitCode.CANNOT_LISTEN)
+        exit_with_error(
+            f"cannot listen on {settings.peers}: {error}", ExitCode.CANNOT_LISTEN
+        )
     try:
         await daemon.start()
     except OSError as error:
         await daemon.stop()
-        fail(f"cannot listen on {settings.callers}: {error}", ExitCode.CANNOT_LISTEN)
+        exit_with_error(
+            f"cannot listen on {settings.callers}: {error}", ExitCode.CANNOT_LISTEN
+        )
     await serve_until_stopped(daemon)
 
 
@@ -137,7 +152,7 @@
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
-    await stop_event().wait()
+    await create_stop_event().wait()
     await runner.cleanup()
 
 
@@ -151,7 +166,7 @@
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
     await stand_in_server.register(platform_url, f"http://{LOOPBACK}:{port}")
-    await stop_event().wait()
+    await create_stop_event().wait()
     await runner.cleanup()
 
 
@@ -164,17 +179,17 @@
         if problem is not None:
             click.echo(problem, err=True)
             return ExitCode.REFUSED
-        rows = await demo.run()
+        results = await demo.run()
         print_table(
             ["kind", "state", "ran on", "waited_s"],
-            [[row.kind, row.state, row.ran_on, row.waited_s] for row in rows],
+            [[row.kind, row.state, row.ran_on, row.waited_s] for row in results],
         )
         if serve:
-            click.echo(f"serving on {system.url}", err=True)
+            click.echo(f"the entry listens on {system.url}", err=True)
             click.echo(f"operator's key: {system.admin_key}", err=True)
-            await stop_event().wait()
+            await create_stop_event().wait()
     finally:
         await system.stop()
-    states = [row.state for row in rows]
-    is_done = states == ["ran", "succeeded", "succeeded", "running"]
-    return ExitCode.OK if is_done else ExitCode.WORK_FAILED
+    states = [row.state for row in results]
+    is_successful = states == ["ran", "succeeded", "succeeded", "running"]
+    return ExitCode.OK if is_successful else ExitCode.WORK_FAILED
--- a/src/fuchsiadale/cli/serving.py
+++ b/src/fuchsiadale/cli/serving.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop."""
+"""Runs an entry until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 
 async def serve_until_stopped(daemon: EntryDaemon) -> None:
-    """Let a started entry run until SIGTERM or SIGINT, then drain it.
+    """Run a started entry until SIGTERM or SIGINT, then drain and stop it.
 
-    A second signal, or the settings' drain limit, ends it at once.
+    The drain is cut short by a second signal, or when it exceeds the ``drain_limit_s``
+    of the settings.
     """
-    stop = stop_event()
-    await stop.wait()
-    stop.clear()
-    draining = asyncio.ensure_future(daemon.drain())
-    interrupted = asyncio.ensure_future(stop.wait())
+    stop_requested = create_stop_event()
+    await stop_requested.wait()
+    stop_requested.clear()
+    drain_task = asyncio.ensure_future(daemon.drain())
+    second_signal_task = asyncio.ensure_future(stop_requested.wait())
     await asyncio.wait(
-        {draining, interrupted},
+        {drain_task, second_signal_task},
         timeout=daemon.settings.drain_limit_s,
         return_when=asyncio.FIRST_COMPLETED,
     )
-    draining.cancel()
-    interrupted.cancel()
+    drain_task.cancel()
+    second_signal_task.cancel()
     await daemon.stop()
 
 
-def stop_event() -> asyncio.Event:
-    """Return an event that SIGTERM and SIGINT set."""
-    stop = asyncio.Event()
+def create_stop_event() -> asyncio.Event:
+    """Return an event that SIGTERM or SIGINT sets."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    return stop
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    return stop_requested
--- a/src/fuchsiadale/config/json_body.py
+++ b/src/fuchsiadale/config/json_body.py
@@ -1,4 +1,7 @@
-"""JSON bodies as located documents, so that their problems name fields."""
+"""Parses JSON request bodies into document nodes.
+
+The nodes hold the path of each field, so that problems name the field.
+"""
 
 from __future__ import annotations
 
@@ -6,33 +9,34 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.config.located import Located, Location, Problem
+from fuchsiadale.config.documents import DocumentNode, Location, Problem
 
-BODY = "body"
+BODY_FILE_NAME = "body"
+"""File name in the locations of values that come from a request body."""
 
 
-def parse_json(body: bytes) -> Result[Located, list[Problem]]:
-    """Return the document of a JSON body, which must be an object."""
+def parse_json_object(body: bytes) -> Result[DocumentNode, list[Problem]]:
+    """Return the root node of a JSON body, which must be an object."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Err([Problem(Location(BODY, 1), "", f"is not JSON: {error}")])
+        return Err([Problem(Location(BODY_FILE_NAME, 1), "", f"is not JSON: {error}")])
     if not isinstance(value, dict):
-        return Err([Problem(Location(BODY, 1), "", "must be an object")])
-    return Ok(_locate(value, ""))
+        return Err([Problem(Location(BODY_FILE_NAME, 1), "", "must be an object")])
+    return Ok(_build_node(value, ""))
 
 
-def _locate(value: object, path: str) -> Located:
-    location = Location(BODY, 1)
+def _build_node(value: object, path: str) -> DocumentNode:
+    location = Location(BODY_FILE_NAME, 1)
     if isinstance(value, dict):
         fields = {
-            name: _locate(inner, f"{path}.{name}" if path else name)
+            name: _build_node(inner, f"{path}.{name}" if path else name)
             for name, inner in value.items()
         }
-        return Located(location, path, fields=fields)
+        return DocumentNode(location, path, fields=fields)
     if isinstance(value, list):
         items = [
-            _locate(inner, f"{path}[{index}]") for index, inner in enumerate(value)
+            _build_node(inner, f"{path}[{index}]") for index, inner in enumerate(value)
         ]
-        return Located(location, path, items=items)
-    return Located(location, path, scalar=value)
+        return DocumentNode(location, path, items=items)
+    return DocumentNode(location, path, scalar=value)
--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -9,10 +9,10 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from fuchsiadale.config.json_body import parse_json
-from fuchsiadale.config.located import Located, Problem, SourceFile
+from fuchsiadale.config.documents import DocumentNode, Problem, SourceFile
+from fuchsiadale.config.json_body import parse_json_object
 from fuchsiadale.config.model import Configuration
-from fuchsiadale.config.reader import Reader
+from fuchsiadale.config.reader import MappingReader
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.resources import (
     MB_PER_GB,
@@ -120,9 +120,11 @@
         body, problems = parsed.ok_value, parsed.ok_value.problems
         base_version = None
         if body.has_field("base_version"):
-            base_version = body.reader.integer("base_version", 0, 0, MAX_CONFIG_VERSION)
+            base_version = body.reader.read_integer(
+                "base_version", 0, 0, MAX_CONFIG_VERSION
+            )
         files = _source_files(body)
-        body.reader.finish()
+        body.reader.report_unknown_fields()
         if problems:
             return refusal_response(_malformed_refusal(problems))
         changed = await self._config.replace_from_files(files, base_version)
@@ -134,8 +136,8 @@
         body = await _parse_body(request)
         if isinstance(body, Err):
             return refusal_response(body.err_value)
-        team = body.ok_value.reader.name("team")
-        body.ok_value.reader.finish()
+        team = body.ok_value.reader.read_name("team")
+        body.ok_value.reader.report_unknown_fields()
         if body.ok_value.problems:
             return refusal_response(_malformed_refusal(body.ok_value.problems))
         key = await self._config.create_key(team)
@@ -221,13 +223,13 @@
     ----------
     problems : list of Problem
         The problems that were found in the body so far.
-    reader : Reader
+    reader : MappingReader
         Reads the fields of the body and adds to `problems`.
     """
 
-    def __init__(self, document: Located) -> None:
+    def __init__(self, document: DocumentNode) -> None:
         self.problems: list[Problem] = []
-        self.reader = Reader(document, self.problems)
+        self.reader = MappingReader(document, self.problems)
 
     def has_field(self, name: str) -> bool:
         """Return whether the body has a field of this name."""
@@ -235,7 +237,7 @@
 
 
 async def _parse_body(request: web.Request) -> Result[_RequestBody, Refusal]:
-    parsed = parse_json(await request.read())
+    parsed = parse_json_object(await request.read())
     if isinstance(parsed, Err):
         return Err(_malformed_refusal(parsed.err_value))
     return Ok(_RequestBody(parsed.ok_value))
@@ -243,12 +245,12 @@
 
 def _source_files(body: _RequestBody) -> list[SourceFile]:
     """Return the field ``files``, a mapping of file names to texts, sorted by name."""
-    files_reader = body.reader.mapping("files")
+    files_reader = body.reader.read_mapping("files")
     if files_reader is None:
-        body.reader.complain("is missing", "files")
+        body.reader.add_problem("is missing", "files")
         return []
     names = sorted(files_reader.node.fields or {})
-    return [SourceFile(name, files_reader.text(name)) for name in names]
+    return [SourceFile(name, files_reader.read_text(name)) for name in names]
 
 
 def _malformed_refusal(problems: list[Problem]) -> Refusal:
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 from result import Ok
 
-from fuchsiadale.config.located import SourceFile
+from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.decision.errors import ErrorKind
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
@@ -25,7 +25,7 @@
             key = (await nodes["entry-0"].config.create_key("guild")).unwrap()
             await cluster.until(
                 lambda: all(
-                    node.config.document.team_of_key(key.text) == "guild"
+                    node.config.document.find_team_by_key(key.text) == "guild"
                     for node in nodes.values()
                 ),
                 PROPAGATION_TIMEOUT_S,
@@ -35,7 +35,9 @@
             cluster.cut_off("entry-2")
             (await nodes["entry-0"].config.withdraw_key(key.key_id)).unwrap()
             await cluster.until(
-                lambda: nodes["entry-1"].config.document.team_of_key(key.text) is None,
+                lambda: (
+                    nodes["entry-1"].config.document.find_team_by_key(key.text) is None
+                ),
                 WITHDRAWAL_TIMEOUT_S,
             )
             await cluster.until(
