--- a/src/fuchsiadale/entry/daemon.py
+++ b/src/fuchsiadale/entry/daemon.py
@@ -9,7 +9,7 @@
 from fuchsiadale.entry.admin_api import AdminApi
 from fuchsiadale.entry.answers import json_answer
 from fuchsiadale.entry.callers_api import MAX_BODY_BYTES, CallersApi
-from fuchsiadale.entry.node import EntryNode, Platform
+from fuchsiadale.entry.node import EntryNode, PlatformClients
 from fuchsiadale.peers.client import GrpcPeerConnector
 from fuchsiadale.peers.service import PeerServer
 from fuchsiadale.ports.http import (
@@ -32,7 +32,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self._session = PlatformSession(settings.platform_url)
-        platform = Platform(
+        platform = PlatformClients(
             HttpTable(self._session),
             HttpObjectStore(self._session),
             HttpHostList(self._session),
@@ -41,23 +41,23 @@
             settings, platform, HttpBackendConnector(), GrpcPeerConnector()
         )
         self._peer_server = PeerServer(self.node.peer_service, str(settings.peers))
-        self._runner: web.AppRunner | None = None
+        self._app_runner: web.AppRunner | None = None
 
     @property
     def callers_port(self) -> int:
         """The port on which callers are answered."""
-        if self._runner is None or not self._runner.addresses:
+        if self._app_runner is None or not self._app_runner.addresses:
             return self.settings.callers.port
-        return int(self._runner.addresses[0][1])
+        return int(self._app_runner.addresses[0][1])
 
     async def start(self) -> None:
         """Begin to serve."""
         await self._peer_server.start()
         self.node.start()
-        self._runner = web.AppRunner(make_app(self.node), access_log=None)
-        await self._runner.setup()
+        self._app_runner = web.AppRunner(build_app(self.node), access_log=None)
+        await self._app_runner.setup()
         callers = self.settings.callers
-        await web.TCPSite(self._runner, callers.ip, callers.port).start()
+        await web.TCPSite(self._app_runner, callers.ip, callers.port).start()
 
     async def drain(self) -> None:
         """Stop without cutting a request."""
@@ -65,18 +65,22 @@
 
     async def stop(self) -> None:
         """Close everything at once."""
-        if self._runner is not None:
-            await self._runner.cleanup()
+        if self._app_runner is not None:
+            await self._app_runner.cleanup()
         await self._peer_server.stop()
         await self.node.stop()
         await self._session.close()
 
 
-def make_app(node: EntryNode) -> web.Application:
+def build_app(node: EntryNode) -> web.Application:
     """Return the HTTP application of a node."""
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     CallersApi(
-        node.config, node.router, node.counters, node.ids, lambda: node.is_refusing
+        node.config,
+        node.router,
+        node.counters,
+        node.ids,
+        lambda: node.refuses_submissions,
     ).add_routes(app)
     AdminApi(
         node.config,
@@ -86,13 +90,13 @@
         node.settings.admin_key_sha256,
     ).add_routes(app)
 
-    async def answer_health(request: web.Request) -> web.Response:
+    async def handle_health(request: web.Request) -> web.Response:
         return json_answer({"member": node.member})
 
-    async def answer_readiness(request: web.Request) -> web.Response:
+    async def handle_readiness(request: web.Request) -> web.Response:
         status = 200 if node.is_ready else 503
         return json_answer({"ready": node.is_ready}, status)
 
-    app.router.add_get("/healthz", answer_health)
-    app.router.add_get("/readyz", answer_readiness)
+    app.router.add_get("/healthz", handle_health)
+    app.router.add_get("/readyz", handle_readiness)
     return app
--- a/src/fuchsiadale/entry/directory.py
+++ b/src/fuchsiadale/entry/directory.py
@@ -32,7 +32,7 @@
         self._owners: dict[str, Owner] = {}
         self._members: dict[str, MemberRow] = {}
         self._changed = asyncio.Event()
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
 
     @property
     def members(self) -> dict[str, MemberRow]:
@@ -57,7 +57,7 @@
         self._owners = owners
         self._members = members
         if has_changed:
-            self._announce()
+            self._signal_change()
 
     def set_owner(self, partition: str, owner: Owner | None) -> None:
         """Take one change that this process made itself."""
@@ -65,7 +65,7 @@
             self._owners.pop(partition, None)
         else:
             self._owners[partition] = owner
-        self._announce()
+        self._signal_change()
 
     async def wait_for_change(self, timeout_s: float) -> None:
         """Return at the next change, or after `timeout_s` seconds."""
@@ -76,11 +76,11 @@
         except TimeoutError:
             return
 
-    def _announce(self) -> None:
+    def _signal_change(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
         self.on_change()
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
--- a/src/fuchsiadale/entry/partition_tools.py
+++ b/src/fuchsiadale/entry/driver_services.py
@@ -13,11 +13,11 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.supervisor import Supervisor
 
-ResultSink = Callable[[str, Work, Callable[[], None]], None]
+ResultSender = Callable[[str, Work, Callable[[], None]], None]
 
 
 @frozen
-class PartitionTools:
+class DriverServices:
     """What every partition driver of a process shares.
 
     Attributes
@@ -43,5 +43,5 @@
     connector: BackendConnector
     counters: Counters
     supervisor: Supervisor
-    send_result: ResultSink
+    send_result: ResultSender
     is_store_failing: Callable[[], bool]
--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -99,7 +99,7 @@
     def answer(self, request: GossipRequest) -> GossipReply:
         """Answer a peer's gossip."""
         if request.partition_released:
-            self._ownership.wake()
+            self._ownership.request_reconciliation()
         totals: list[TeamUse] = []
         for use in request.uses:
             self._reported[use.team][request.member] = _resources(use)
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -110,7 +110,7 @@
                     scheduler.set_grant(name, NO_LIMIT)
                 elif name not in scheduler.allowances:
                     scheduler.set_grant(name, NO_RESOURCES)
-            driver.kick()
+            driver.schedule_step()
 
     async def serve(self) -> None:
         """Look once at every partition and every team that is active there."""
@@ -163,7 +163,7 @@
             await self._raise(driver, name, team, held, version, wanted or used)
         elif held.ceiling is not None:
             driver.partition.enforce_grant(name)
-            driver.kick()
+            driver.schedule_step()
             if used.fits_in(held.ceiling):
                 await self._lower(driver, name, held, held.ceiling)
         elif wanted is not None:
@@ -195,7 +195,7 @@
             held.retry_at_s = self._clock.now() + REFUSED_GRANT_DELAY_S
             self._counters.add("limited.team")
         if held.grant != before:
-            driver.kick()
+            driver.schedule_step()
 
     async def _lower(
         self, driver: PartitionDriver, name: str, held: _Held, keep: Resources
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -19,7 +19,7 @@
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.entry.journal import Journal
 from fuchsiadale.entry.partition_driver import PartitionDriver
-from fuchsiadale.entry.recovery import RecordedState
+from fuchsiadale.entry.recovery import PartitionStateStore
 from fuchsiadale.entry.workers_driver import WorkerList
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
@@ -30,8 +30,8 @@
     transact_with_readback,
 )
 
-SNAPSHOT_EVENTS = 5000
-SNAPSHOT_ROWS = 2000
+SNAPSHOT_EVENT_THRESHOLD = 5000
+SNAPSHOT_ROW_THRESHOLD = 2000
 MAX_SEGMENTS = 4
 
 
@@ -72,7 +72,7 @@
         row: PartitionRow,
         row_version: int,
         table: TableService,
-        state: RecordedState,
+        state_store: PartitionStateStore,
         worker_list: WorkerList,
         identity: Identity,
         journal: Journal,
@@ -82,10 +82,10 @@
         self.driver = driver
         self.authority = authority
         self.row = row
-        self.unwanted_since_s: float | None = None
+        self.not_preferred_since_s: float | None = None
         self._row_version = row_version
         self._table = table
-        self._state = state
+        self._state_store = state_store
         self._worker_list = worker_list
         self._identity = identity
         self._journal = journal
@@ -94,10 +94,14 @@
     @property
     def listed_workers(self) -> list[WorkerInfo]:
         """The listed workers among the partition's witnesses."""
-        known = self._worker_list.workers
-        return [known[name] for name in self.row.witnesses if name in known]
-
-    def show_workers(self) -> None:
+        workers_by_name = self._worker_list.workers
+        return [
+            workers_by_name[name]
+            for name in self.row.witnesses
+            if name in workers_by_name
+        ]
+
+    def update_driver_workers(self) -> None:
         """Let the driver see the host list and the witnesses."""
         self.driver.set_workers(self.listed_workers, self.row.witnesses)
 
@@ -115,18 +119,20 @@
         listed = self._worker_list.of_partition(
             self.pool, pool.slices, self.driver.name
         )
-        charged = self.driver.partition.ledger.workers
-        wanted = {info.name for info in listed}
-        wanted |= {name for name, worker in charged.items() if worker.attempts}
-        if wanted == set(self.row.witnesses) or not self.authority.may_act():
+        ledger_workers = self.driver.partition.ledger.workers
+        witness_names = {info.name for info in listed}
+        witness_names |= {
+            name for name, worker in ledger_workers.items() if worker.attempts
+        }
+        if witness_names == set(self.row.witnesses) or not self.authority.may_act():
             return
-        witnesses = tuple(sorted(wanted))
+        witnesses = tuple(sorted(witness_names))
         self.authority.propose_witnesses(witnesses)
         if await self._write_row(evolve(self.row, witnesses=witnesses)):
             self.authority.confirm_witnesses(witnesses)
-            self.show_workers()
+            self.update_driver_workers()
 
-    async def snapshot_if_due(self) -> None:
+    async def write_snapshot_if_due(self) -> None:
         """Replace the journal so far by a snapshot once it has grown long.
 
         A quiet partition is written too, since it holds back the cutting of the whole
@@ -134,13 +140,13 @@
         """
         first = self._journal.next_number
         segments = self.row.segments
-        is_long = self.driver.events_since_snapshot >= SNAPSHOT_EVENTS
-        is_old = first - segments[-1].first >= SNAPSHOT_ROWS
-        is_scattered = len(segments) > MAX_SEGMENTS
-        if is_long or is_old or is_scattered:
-            await self._snapshot(first)
+        has_many_events = self.driver.events_since_snapshot >= SNAPSHOT_EVENT_THRESHOLD
+        has_old_segment = first - segments[-1].first >= SNAPSHOT_ROW_THRESHOLD
+        has_many_segments = len(segments) > MAX_SEGMENTS
+        if has_many_events or has_old_segment or has_many_segments:
+            await self._write_snapshot(first)
 
-    async def _snapshot(self, first: int) -> None:
+    async def _write_snapshot(self, first: int) -> None:
         """Write a snapshot that holds everything recorded before row `first`."""
         entry = JournalEntry(
             self.driver.name,
@@ -148,15 +154,15 @@
         )
         name = f"snapshot/{self.driver.name}/{self.row.epoch}-{first}"
         self.driver.events_since_snapshot = 0
-        written = await self._state.write_snapshot(name, JournalRow([entry]))
+        written = await self._state_store.write_snapshot(name, JournalRow([entry]))
         if isinstance(written, Err):
             return
-        former = self.row.snapshot
+        previous_snapshot = self.row.snapshot
         segment = JournalSegment(self._identity.member, first)
         if await self._write_row(evolve(self.row, snapshot=name, segments=(segment,))):
             self._counters.add("ownership.snapshot")
-            if former:
-                await self._state.discard_snapshot(former)
+            if previous_snapshot:
+                await self._state_store.delete_snapshot(previous_snapshot)
 
     async def _write_row(self, row: PartitionRow) -> bool:
         key = partition_key(self.driver.name)
--- a/src/fuchsiadale/entry/identity.py
+++ b/src/fuchsiadale/entry/identity.py
@@ -31,15 +31,15 @@
         self._failure_domain = failure_domain
         self._peer_address = peer_address
         self.member = ""
-        self.alive_version = 0
-        self.renew()
+        self.liveness_version = 0
+        self.assign_new_member()
 
-    def renew(self) -> None:
+    def assign_new_member(self) -> None:
         """Become a new member that has not joined yet."""
         self.member = f"{self._host}.{self._ids.new()[:8]}"
-        self.alive_version = 0
+        self.liveness_version = 0
 
-    def row(self, renewals: int, draining: bool) -> MemberRow:
+    def build_row(self, renewals: int, draining: bool) -> MemberRow:
         """Return this member's row."""
         return MemberRow(
             member=self.member,
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -33,14 +33,14 @@
     Write,
 )
 
-GROUP_COMMIT_S = 0.025
-FAILED_COMMIT_DELAY_S = 0.25
+GROUP_COMMIT_DELAY_S = 0.025
+COMMIT_RETRY_DELAY_S = 0.25
 
 Callback = Callable[[], None]
 
 
 @define(eq=False)
-class Ticket:
+class AppendHandle:
     """Stands for events that are to be recorded.
 
     Attributes
@@ -51,19 +51,19 @@
         Called once they are.
     """
 
-    recorded: bool = False
+    is_recorded: bool = False
     callbacks: list[Callback] = field(factory=list)
 
-    def when_recorded(self, callback: Callback) -> None:
+    def call_when_recorded(self, callback: Callback) -> None:
         """Call back once the events are on record, at once if they are."""
-        if self.recorded:
+        if self.is_recorded:
             callback()
         else:
             self.callbacks.append(callback)
 
-    def complete(self) -> None:
+    def mark_recorded(self) -> None:
         """Note that the events are on record."""
-        self.recorded = True
+        self.is_recorded = True
         for callback in self.callbacks:
             callback()
         self.callbacks.clear()
@@ -72,9 +72,9 @@
 @define(eq=False)
 class _Batch:
     entries: list[JournalEntry] = field(factory=list)
-    ticket: Ticket = field(factory=Ticket)
-    in_flight: bool = False
-    uncertain: bool = False
+    append_handle: AppendHandle = field(factory=AppendHandle)
+    is_in_flight: bool = False
+    may_be_recorded: bool = False
 
 
 class Journal:
@@ -100,17 +100,17 @@
         table: TableService,
         identity: Identity,
         counters: Counters,
-        on_lost: Callback,
+        on_declared_dead: Callback,
     ) -> None:
         self._table = table
         self._identity = identity
         self._counters = counters
-        self._on_lost = on_lost
+        self._on_declared_dead = on_declared_dead
         self._next_number = 1
-        self._batch = _Batch()
-        self._flushing: _Batch | None = None
-        self._filled = asyncio.Event()
-        self._failing = False
+        self._open_batch = _Batch()
+        self._flushing_batch: _Batch | None = None
+        self._has_new_events = asyncio.Event()
+        self._is_failing = False
 
     @property
     def next_number(self) -> int:
@@ -120,76 +120,76 @@
     @property
     def is_failing(self) -> bool:
         """Whether the last attempt to record failed."""
-        return self._failing
+        return self._is_failing
 
     @property
     def is_idle(self) -> bool:
         """Whether everything handed in is on record."""
-        return self._flushing is None and not self._batch.entries
+        return self._flushing_batch is None and not self._open_batch.entries
 
-    def append(self, partition: str, events: list[JournalEvent]) -> Ticket:
+    def append(self, partition: str, events: list[JournalEvent]) -> AppendHandle:
         """Hand in events of a partition; those without any wait for earlier ones."""
         if events:
-            self._batch.entries.append(JournalEntry(partition, events))
-            self._filled.set()
-        elif not self._batch.entries:
-            if self._flushing is not None:
-                return self._flushing.ticket
-            done = Ticket()
-            done.complete()
-            return done
-        return self._batch.ticket
+            self._open_batch.entries.append(JournalEntry(partition, events))
+            self._has_new_events.set()
+        elif not self._open_batch.entries:
+            if self._flushing_batch is not None:
+                return self._flushing_batch.append_handle
+            recorded_handle = AppendHandle()
+            recorded_handle.mark_recorded()
+            return recorded_handle
+        return self._open_batch.append_handle
 
     def withdraw(self, work_id: str) -> bool:
         """Take back the events of a work; False if they may be on record."""
-        for batch in (self._flushing, self._batch):
+        for batch in (self._flushing_batch, self._open_batch):
             if batch is None:
                 continue
-            if not any(_concerns(batch, work_id)):
+            if not any(_match_events(batch, work_id)):
                 continue
-            if batch.in_flight or batch.uncertain:
+            if batch.is_in_flight or batch.may_be_recorded:
                 return False
             for entry in batch.entries:
                 entry.events[:] = [
-                    event for event in entry.events if _work_of(event) != work_id
+                    event for event in entry.events if _event_work_id(event) != work_id
                 ]
         return True
 
-    def restart(self) -> None:
+    def reset_for_new_member(self) -> None:
         """Begin the journal of a new member; what was not recorded is dropped."""
         self._next_number = 1
-        self._batch = _Batch()
-        self._flushing = None
-        self._failing = False
+        self._open_batch = _Batch()
+        self._flushing_batch = None
+        self._is_failing = False
 
     async def run(self) -> None:
         """Record what is handed in, for ever."""
         while True:
-            await self._filled.wait()
-            await asyncio.sleep(GROUP_COMMIT_S)
-            self._filled.clear()
+            await self._has_new_events.wait()
+            await asyncio.sleep(GROUP_COMMIT_DELAY_S)
+            self._has_new_events.clear()
             await self._flush()
 
     async def _flush(self) -> None:
         """Record the present batch, trying until it surely is on record."""
-        batch = self._batch
+        batch = self._open_batch
         if not batch.entries:
             return
-        self._batch = _Batch()
-        self._flushing = batch
-        while self._flushing is batch:
-            if await self._write(batch):
-                self._flushing = None
-                self._failing = False
-                batch.ticket.complete()
+        self._open_batch = _Batch()
+        self._flushing_batch = batch
+        while self._flushing_batch is batch:
+            if await self._write_batch(batch):
+                self._flushing_batch = None
+                self._is_failing = False
+                batch.append_handle.mark_recorded()
                 return
-            if self._flushing is batch:
-                self._failing = True
-                await asyncio.sleep(FAILED_COMMIT_DELAY_S)
+            if self._flushing_batch is batch:
+                self._is_failing = True
+                await asyncio.sleep(COMMIT_RETRY_DELAY_S)
 
-    async def _write(self, batch: _Batch) -> bool:
+    async def _write_batch(self, batch: _Batch) -> bool:
         member = self._identity.member
-        alive_version = self._identity.alive_version
+        alive_version = self._identity.liveness_version
         key = journal_key(member, self._next_number)
         transaction = Transaction(
             writes=(Write(key, encode(JournalRow(batch.entries))),),
@@ -199,16 +199,16 @@
             ),
             nonce=f"{member}/{self._next_number}",
         )
-        batch.in_flight = True
+        batch.is_in_flight = True
         outcome = await self._table.transact(transaction)
-        batch.in_flight = False
+        batch.is_in_flight = False
         if isinstance(outcome, Ok):
             self._next_number += 1
             self._counters.add("journal.recorded")
             return True
         self._counters.add(f"journal.retried.{outcome.err_value.value}")
         if outcome.err_value is TableFailure.UNKNOWN:
-            batch.uncertain = True
+            batch.may_be_recorded = True
         if outcome.err_value is not TableFailure.CONFLICT:
             return False
         return await self._resolve_conflict(key, transaction.nonce)
@@ -222,12 +222,12 @@
         if row is not None and row.nonce == nonce:
             self._next_number += 1
             return True
-        self.restart()
-        self._on_lost()
+        self.reset_for_new_member()
+        self._on_declared_dead()
         return False
 
 
-def _work_of(event: JournalEvent) -> str:
+def _event_work_id(event: JournalEvent) -> str:
     match event:
         case AcceptedEvent(submission=submission):
             return submission.work_id
@@ -236,7 +236,9 @@
     return event.work_id
 
 
-def _concerns(batch: _Batch, work_id: str) -> list[bool]:
+def _match_events(batch: _Batch, work_id: str) -> list[bool]:
     return [
-        _work_of(event) == work_id for entry in batch.entries for event in entry.events
+        _event_work_id(event) == work_id
+        for entry in batch.entries
+        for event in entry.events
     ]
--- a/src/fuchsiadale/entry/janitor.py
+++ b/src/fuchsiadale/entry/journal_cleaner.py
@@ -22,12 +22,12 @@
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import TableService, Transaction, Write
 
-CLEANING_PERIOD_S = 20.0
+CLEANING_INTERVAL_S = 20.0
 ROWS_PER_TRANSACTION = 100
-HOME_KEY = "janitor"
+ORPHAN_REMOVER_KEY = "janitor"
 
 
-class Janitor:
+class JournalCleaner:
     """Cuts this member's journal, and removes those of members that are gone.
 
     Parameters
@@ -49,78 +49,80 @@
         table: TableService,
         identity: Identity,
         journal: Journal,
-        members: Callable[[], Sequence[str]],
+        list_members: Callable[[], Sequence[str]],
         counters: Counters,
     ) -> None:
         self._table = table
         self._identity = identity
         self._journal = journal
-        self._members = members
+        self._list_members = list_members
         self._counters = counters
-        self._member = ""
-        self._first_kept = 1
+        self._truncated_member = ""
+        self._first_kept_row = 1
 
     async def run(self) -> None:
         """Clean, for ever."""
         while True:
-            await asyncio.sleep(CLEANING_PERIOD_S)
+            await asyncio.sleep(CLEANING_INTERVAL_S)
             await self.clean()
 
     async def clean(self) -> None:
         """Remove once what is not needed."""
         # Read before the rows: a partition taken from now on begins at a later number.
-        bound = self._journal.next_number
-        needed = await self._first_needed()
-        if needed is None:
+        next_number = self._journal.next_number
+        first_needed_rows = await self._read_first_needed_rows()
+        if first_needed_rows is None:
             return
         member = self._identity.member
-        if member != self._member:
-            self._member = member
-            self._first_kept = 1
-        await self._cut_own(min(bound, needed.get(member, bound)))
-        if preferred_member(HOME_KEY, self._members()) == member:
-            await self._remove_orphaned(set(needed))
+        if member != self._truncated_member:
+            self._truncated_member = member
+            self._first_kept_row = 1
+        await self._truncate_own_journal(
+            min(next_number, first_needed_rows.get(member, next_number))
+        )
+        if preferred_member(ORPHAN_REMOVER_KEY, self._list_members()) == member:
+            await self._remove_orphaned_journals(set(first_needed_rows))
 
-    async def _first_needed(self) -> dict[str, int] | None:
+    async def _read_first_needed_rows(self) -> dict[str, int] | None:
         """Return the first row that some partition needs of each journal."""
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
-        needed: dict[str, int] = {}
+        first_needed_rows: dict[str, int] = {}
         for row in rows.ok_value:
             decoded = decode(row.value, PartitionRow)
             if isinstance(decoded, Err):
                 return None
             for segment in decoded.ok_value.segments:
-                first = needed.get(segment.member, segment.first)
-                needed[segment.member] = min(first, segment.first)
-        return needed
+                first_row = first_needed_rows.get(segment.member, segment.first)
+                first_needed_rows[segment.member] = min(first_row, segment.first)
+        return first_needed_rows
 
-    async def _cut_own(self, first_kept: int) -> None:
+    async def _truncate_own_journal(self, first_kept_row: int) -> None:
         keys = [
-            journal_key(self._member, number)
-            for number in range(self._first_kept, first_kept)
+            journal_key(self._truncated_member, number)
+            for number in range(self._first_kept_row, first_kept_row)
         ]
-        if await self._delete(keys):
-            self._first_kept = max(self._first_kept, first_kept)
+        if await self._delete_rows(keys):
+            self._first_kept_row = max(self._first_kept_row, first_kept_row)
 
-    async def _remove_orphaned(self, needed: set[str]) -> None:
+    async def _remove_orphaned_journals(self, needed_members: set[str]) -> None:
         """Remove the journals of members that are gone and that nobody needs."""
-        streams = await self._table.scan(JOURNAL_MARKER_PREFIX)
-        if isinstance(streams, Err):
+        markers = await self._table.scan(JOURNAL_MARKER_PREFIX)
+        if isinstance(markers, Err):
             return
-        alive = set(self._members())
-        for stream in streams.ok_value:
-            member = stream.key.removeprefix(JOURNAL_MARKER_PREFIX)
-            if member in alive or member in needed:
+        current_members = set(self._list_members())
+        for marker in markers.ok_value:
+            member = marker.key.removeprefix(JOURNAL_MARKER_PREFIX)
+            if member in current_members or member in needed_members:
                 continue
             rows = await self._table.scan(journal_prefix(member))
-            if isinstance(rows, Ok) and await self._delete(
+            if isinstance(rows, Ok) and await self._delete_rows(
                 [row.key for row in rows.ok_value]
             ):
-                await self._delete([journal_marker_key(member)])
+                await self._delete_rows([journal_marker_key(member)])
 
-    async def _delete(self, keys: list[str]) -> bool:
+    async def _delete_rows(self, keys: list[str]) -> bool:
         """Delete rows in batches; return whether all of them are gone."""
         for start in range(0, len(keys), ROWS_PER_TRANSACTION):
             batch = keys[start : start + ROWS_PER_TRANSACTION]
--- a/src/fuchsiadale/entry/local_gateway.py
+++ b/src/fuchsiadale/entry/local_gateway.py
@@ -58,7 +58,7 @@
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
         driver = self._find(partition)
-        return driver.map(lambda found: found.list_team(team))
+        return driver.map(lambda found: found.list_team_jobs(team))
 
     async def inspect(self, partition: str) -> Result[PartitionView, Refusal]:
         """Return a view of a partition for operators."""
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -31,8 +31,8 @@
     transact_with_readback,
 )
 
-Renewed = Callable[[float], None]
-Lost = Callable[[], Awaitable[None]]
+RenewalCallback = Callable[[float], None]
+DeclaredDeadCallback = Callable[[], Awaitable[None]]
 
 
 class MembershipDriver:
@@ -60,29 +60,29 @@
         identity: Identity,
         clock: Clock,
         counters: Counters,
-        on_renewed: Renewed,
-        on_lost: Lost,
+        on_renewed: RenewalCallback,
+        on_declared_dead: DeclaredDeadCallback,
     ) -> None:
         self._table = table
         self._identity = identity
         self._clock = clock
         self._counters = counters
         self._on_renewed = on_renewed
-        self._on_lost = on_lost
-        self._observer = MemberLeaseTracker(clock)
+        self._on_declared_dead = on_declared_dead
+        self._lease_tracker = MemberLeaseTracker(clock)
         self._renewals = 0
         self._member_version = 0
-        self.draining = False
+        self.is_draining = False
 
     @property
     def members(self) -> dict[str, MemberRow]:
         """The members as last read."""
-        return self._observer.members
+        return self._lease_tracker.members
 
     @property
     def has_joined(self) -> bool:
         """Whether this member's rows are in place."""
-        return self._identity.alive_version > 0
+        return self._identity.liveness_version > 0
 
     async def run(self) -> None:
         """Join, then renew the lease, for ever."""
@@ -97,7 +97,7 @@
         """Write this member's rows for the first time."""
         sent_s = self._clock.now()
         member = self._identity.member
-        row = self._identity.row(self._renewals, self.draining)
+        row = self._identity.build_row(self._renewals, self.is_draining)
         transaction = Transaction(
             writes=(
                 Write(member_key(member), encode(row)),
@@ -110,7 +110,7 @@
         if isinstance(outcome, Err):
             self._counters.add(f"membership.join.{outcome.err_value.value}")
             return
-        self._identity.alive_version = outcome.ok_value.version
+        self._identity.liveness_version = outcome.ok_value.version
         self._on_renewed(sent_s)
         log_message("member_joined", member=member)
 
@@ -119,45 +119,50 @@
         sent_s = self._clock.now()
         self._renewals += 1
         member = self._identity.member
-        row = self._identity.row(self._renewals, self.draining)
+        row = self._identity.build_row(self._renewals, self.is_draining)
         transaction = Transaction(
             writes=(Write(member_key(member), encode(row)),),
-            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
+            conditions=(
+                Condition(liveness_key(member), self._identity.liveness_version),
+            ),
         )
         outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Ok):
             self._on_renewed(sent_s)
             return
         self._counters.add(f"membership.renew.{outcome.err_value.value}")
-        if outcome.err_value is TableFailure.CONFLICT and await self._is_dead():
+        if (
+            outcome.err_value is TableFailure.CONFLICT
+            and await self._was_declared_dead()
+        ):
             await self.rejoin()
 
     async def rejoin(self) -> None:
         """Give up what this member owned and become a new one."""
         log_message("member_lost", member=self._identity.member)
         self._counters.add("membership.lost")
-        await self._on_lost()
-        self._identity.renew()
+        await self._on_declared_dead()
+        self._identity.assign_new_member()
         await self.join()
 
-    async def observe(self) -> bool:
+    async def read_members(self) -> bool:
         """Read the members' rows; return whether the store answered."""
         rows = await self._table.scan(MEMBER_PREFIX)
         if isinstance(rows, Err):
-            self._observer.restart_leases()
+            self._lease_tracker.restart_leases()
             return False
-        seen: list[VersionedMemberRow] = []
+        versioned_rows: list[VersionedMemberRow] = []
         for row in rows.ok_value:
             decoded = decode(row.value, MemberRow)
             if isinstance(decoded, Ok):
-                seen.append(VersionedMemberRow(decoded.ok_value, row.version))
-        self._observer.update(seen)
+                versioned_rows.append(VersionedMemberRow(decoded.ok_value, row.version))
+        self._lease_tracker.update(versioned_rows)
         return True
 
-    async def declare_dead(self) -> None:
+    async def declare_expired_members_dead(self) -> None:
         """Remove the members whose leases expired before this one's eyes."""
-        for seen in self._observer.expired_members():
-            member = seen.row.member
+        for expired in self._lease_tracker.expired_members():
+            member = expired.row.member
             if member == self._identity.member:
                 continue
             transaction = Transaction(
@@ -165,7 +170,7 @@
                     Write(member_key(member), None),
                     Write(liveness_key(member), None),
                 ),
-                conditions=(Condition(member_key(member), seen.version),),
+                conditions=(Condition(member_key(member), expired.version),),
             )
             outcome = await self._table.transact(transaction)
             if isinstance(outcome, Ok):
@@ -180,15 +185,17 @@
                 Write(member_key(member), None),
                 Write(liveness_key(member), None),
             ),
-            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
+            conditions=(
+                Condition(liveness_key(member), self._identity.liveness_version),
+            ),
         )
         await self._table.transact(transaction)
-        self._identity.alive_version = 0
+        self._identity.liveness_version = 0
 
-    async def _is_dead(self) -> bool:
+    async def _was_declared_dead(self) -> bool:
         key = liveness_key(self._identity.member)
         found = await self._table.read(key)
         if isinstance(found, Err):
             return False
         row = found.ok_value
-        return row is None or row.version != self._identity.alive_version
+        return row is None or row.version != self._identity.liveness_version
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -15,18 +15,18 @@
 from fuchsiadale.decision.work import Work
 from fuchsiadale.entry.config_driver import ConfigDriver
 from fuchsiadale.entry.directory import Directory
+from fuchsiadale.entry.driver_services import DriverServices
 from fuchsiadale.entry.gossip_driver import GossipDriver
 from fuchsiadale.entry.grants_driver import GrantsDriver
 from fuchsiadale.entry.identity import Identity
-from fuchsiadale.entry.janitor import Janitor
 from fuchsiadale.entry.journal import Journal
+from fuchsiadale.entry.journal_cleaner import JournalCleaner
 from fuchsiadale.entry.local_gateway import LocalGateway
 from fuchsiadale.entry.membership_driver import MembershipDriver
 from fuchsiadale.entry.ownership_driver import OwnershipDriver
 from fuchsiadale.entry.partition_driver import PartitionDriver
-from fuchsiadale.entry.partition_tools import PartitionTools
 from fuchsiadale.entry.peer_set import PeerSet
-from fuchsiadale.entry.recovery import RecordedState
+from fuchsiadale.entry.recovery import PartitionStateStore
 from fuchsiadale.entry.router import Router
 from fuchsiadale.entry.workers_driver import WorkerList
 from fuchsiadale.ids import IdSource, RandomIds
@@ -41,11 +41,11 @@
 from fuchsiadale.ports.table import TableService
 from fuchsiadale.supervisor import Supervisor
 
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 
 @frozen
-class Platform:
+class PlatformClients:
     """Clients of the platform."""
 
     table: TableService
@@ -80,8 +80,8 @@
     def __init__(
         self,
         settings: Settings,
-        platform: Platform,
-        connector: BackendConnector,
+        platform: PlatformClients,
+        backend_connector: BackendConnector,
         peer_connector: PeerConnector,
         ids: IdSource | None = None,
     ) -> None:
@@ -93,12 +93,12 @@
             else MemoryCounters()
         )
         self._platform = platform
-        self._connector = connector
+        self._backend_connector = backend_connector
         self._peer_connector = peer_connector
         self._clock = LoopClock()
-        self._root = Supervisor("entry")
+        self._supervisor = Supervisor("entry")
         self._is_ready_to_serve = True
-        self._is_refusing = False
+        self._refuses_submissions = False
         self._build()
 
     @property
@@ -127,9 +127,9 @@
         return self._identity.member
 
     @property
-    def is_refusing(self) -> bool:
+    def refuses_submissions(self) -> bool:
         """Whether no more work is taken in."""
-        return self._is_refusing
+        return self._refuses_submissions
 
     @property
     def is_ready(self) -> bool:
@@ -143,7 +143,7 @@
 
     def start(self) -> None:
         """Run every driver."""
-        for name, main in (
+        for name, run_driver in (
             ("journal", self._journal.run),
             ("config", self._config.run),
             ("workers", self._worker_list.run),
@@ -151,9 +151,9 @@
             ("ownership", self._ownership.run),
             ("grants", self._grants.run),
             ("gossip", self._gossip.run),
-            ("janitor", self._janitor.run),
+            ("janitor", self._journal_cleaner.run),
         ):
-            self._root.start(name, main)
+            self._supervisor.start(name, run_driver)
         log_message("entry_started", member=self._identity.member)
 
     async def drain(self) -> None:
@@ -164,23 +164,23 @@
         """
         log_message("drain_started", member=self._identity.member)
         self._is_ready_to_serve = False
-        self._membership.draining = True
+        self._membership.is_draining = True
         if self._membership.has_joined:
             await self._membership.renew()
         await asyncio.sleep(self.settings.drain_notice_s)
-        self._is_refusing = True
+        self._refuses_submissions = True
         await self._ownership.hand_over_all()
         await self._gossip.announce_release()
-        while self._router.waiting_count or self._outboxes.pending_count:
-            await asyncio.sleep(DRAIN_POLL_S)
+        while self._router.waiting_count or self._result_outboxes.pending_count:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await self._membership.leave()
         log_message("drain_finished", member=self._identity.member)
 
     async def stop(self) -> None:
         """End every driver and close every connection at once."""
-        await self._root.stop()
-        await self._peers.close()
-        await self._connector.close()
+        await self._supervisor.stop()
+        await self._peer_set.close()
+        await self._backend_connector.close()
 
     def _build(self) -> None:
         settings = self.settings
@@ -192,42 +192,42 @@
         )
         table = ObservedTable(self._platform.table, self.counters)
         self._directory = Directory()
-        self._outboxes = ResultOutboxes()
-        self._local = LocalGateway(lambda: self._ownership.drivers)
+        self._result_outboxes = ResultOutboxes()
+        self._local_gateway = LocalGateway(lambda: self._ownership.drivers)
         self._journal = Journal(
-            table, self._identity, self.counters, self._membership_lost
+            table, self._identity, self.counters, self._start_rejoin
         )
         self._config = ConfigDriver(
             table,
             self._platform.objects,
             self._clock,
             self.counters,
-            self._config_applied,
+            self._apply_config,
         )
         self._worker_list = WorkerList(
-            self._platform.hosts, self.counters, self._workers_changed
+            self._platform.hosts, self.counters, self._update_workers
         )
         self._router = Router(
             self._identity,
             self._directory,
-            lambda owner: self._peers.find(owner),
+            lambda owner: self._peer_set.find(owner),
             self._clock,
             self.counters,
         )
-        self._build_membership(table)
-        self._peers = PeerSet(
+        self._build_member_drivers(table)
+        self._peer_set = PeerSet(
             self._identity,
             self._directory,
-            self._local,
+            self._local_gateway,
             self._peer_connector,
-            self._root.add("peers"),
+            self._supervisor.add("peers"),
             self._router.deliver,
-            self._outboxes.forget,
+            self._result_outboxes.forget,
         )
         self._gossip = GossipDriver(
             self._identity,
             self._directory,
-            self._peers,
+            self._peer_set,
             self._config,
             self._ownership,
             self._worker_list,
@@ -235,16 +235,16 @@
             self.counters,
         )
         self.peer_service = PeerService(
-            self._local, self._outboxes, self._gossip.answer
+            self._local_gateway, self._result_outboxes, self._gossip.answer
         )
 
-    def _build_membership(self, table: ObservedTable) -> None:
-        tools = PartitionTools(
+    def _build_member_drivers(self, table: ObservedTable) -> None:
+        services = DriverServices(
             clock=self._clock,
             journal=self._journal,
-            connector=self._connector,
+            connector=self._backend_connector,
             counters=self.counters,
-            supervisor=self._root.add("partitions"),
+            supervisor=self._supervisor.add("partitions"),
             send_result=self._send_result,
             is_store_failing=lambda: table.is_failing,
         )
@@ -253,21 +253,21 @@
             self._identity,
             self._clock,
             self.counters,
-            lambda sent_s: self._ownership.lease_renewed(sent_s),
-            self._give_up_partitions,
+            lambda sent_s: self._ownership.record_lease_renewal(sent_s),
+            self._discard_member_state,
         )
         self._ownership = OwnershipDriver(
             table,
-            RecordedState(table, self._platform.objects),
+            PartitionStateStore(table, self._platform.objects),
             self._identity,
             self._membership,
             self._directory,
             self._worker_list,
-            tools,
+            services,
             lambda: self._config.configuration,
-            self._partition_taken,
+            self._prepare_grants,
         )
-        self._janitor = Janitor(
+        self._journal_cleaner = JournalCleaner(
             table,
             self._identity,
             self._journal,
@@ -284,33 +284,33 @@
         self._directory.on_change = self._router.owners_changed
 
     def _send_result(
-        self, member: str, work: Work, delivered: Callable[[], None]
+        self, member: str, work: Work, on_delivered: Callable[[], None]
     ) -> None:
         view = build_work_view(work)
         if member == self._identity.member:
             self._router.deliver(view)
-            delivered()
+            on_delivered()
         else:
-            self._outboxes.put(member, view, delivered)
+            self._result_outboxes.put(member, view, on_delivered)
 
-    def _membership_lost(self) -> None:
-        self._root.start("rejoin", self._membership.rejoin)
+    def _start_rejoin(self) -> None:
+        self._supervisor.start("rejoin", self._membership.rejoin)
 
-    async def _give_up_partitions(self) -> None:
+    async def _discard_member_state(self) -> None:
         await self._ownership.drop_all()
-        self._journal.restart()
+        self._journal.reset_for_new_member()
         self._router.identity_changed()
 
-    def _partition_taken(self, driver: PartitionDriver) -> None:
+    def _prepare_grants(self, driver: PartitionDriver) -> None:
         self._grants.prepare(driver)
 
-    def _config_applied(self, document: ConfigDocument) -> None:
+    def _apply_config(self, document: ConfigDocument) -> None:
         self._grants.config_applied()
         for name, driver in self._ownership.drivers.items():
             pool = document.configuration.pools.get(name.rpartition(".")[0])
             if pool is not None:
                 driver.partition.scheduler.set_weights(pool.order)
-        self._ownership.wake()
+        self._ownership.request_reconciliation()
 
-    def _workers_changed(self) -> None:
-        self._ownership.workers_changed()
+    def _update_workers(self) -> None:
+        self._ownership.update_workers()
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -23,12 +23,12 @@
     partition_key,
 )
 from fuchsiadale.entry.directory import Directory, Owner
+from fuchsiadale.entry.driver_services import DriverServices
 from fuchsiadale.entry.hosted_partition import HostedPartition
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.entry.membership_driver import MembershipDriver
 from fuchsiadale.entry.partition_driver import PartitionDriver
-from fuchsiadale.entry.partition_tools import PartitionTools
-from fuchsiadale.entry.recovery import RecordedState
+from fuchsiadale.entry.recovery import PartitionStateStore
 from fuchsiadale.entry.workers_driver import WorkerList
 from fuchsiadale.ports.table import (
     ABSENT_VERSION,
@@ -39,14 +39,14 @@
     transact_with_readback,
 )
 
-WATCH_PERIOD_S = 1.0
-HANDOVER_PATIENCE_S = 3.0
-FLUSH_WAIT_S = 5.0
-FLUSH_POLL_S = 0.01
+RECONCILE_INTERVAL_S = 1.0
+HANDOVER_DELAY_S = 3.0
+JOURNAL_FLUSH_TIMEOUT_S = 5.0
+JOURNAL_FLUSH_POLL_INTERVAL_S = 0.01
 
 
 @define
-class _Reading:
+class _StoredPartitions:
     rows: dict[str, PartitionRow] = field(factory=dict)
     versions: dict[str, int] = field(factory=dict)
 
@@ -79,27 +79,27 @@
     def __init__(
         self,
         table: TableService,
-        state: RecordedState,
+        state_store: PartitionStateStore,
         identity: Identity,
         membership: MembershipDriver,
         directory: Directory,
         worker_list: WorkerList,
-        tools: PartitionTools,
-        configuration: Callable[[], Configuration | None],
-        on_taken: Callable[[PartitionDriver], None],
+        services: DriverServices,
+        get_configuration: Callable[[], Configuration | None],
+        on_acquired: Callable[[PartitionDriver], None],
     ) -> None:
         self._table = table
-        self._state = state
+        self._state_store = state_store
         self._identity = identity
         self._membership = membership
         self._directory = directory
         self._worker_list = worker_list
-        self._tools = tools
-        self._configuration = configuration
-        self._on_taken = on_taken
+        self._services = services
+        self._get_configuration = get_configuration
+        self._on_acquired = on_acquired
         self._hosted: dict[str, HostedPartition] = {}
-        self._renewal_sent_s: float | None = None
-        self._wake = asyncio.Event()
+        self._lease_renewal_sent_s: float | None = None
+        self._reconcile_requested = asyncio.Event()
         self._lock = asyncio.Lock()
 
     @property
@@ -107,52 +107,52 @@
         """The drivers of the partitions that this member owns, by name."""
         return {name: hosted.driver for name, hosted in self._hosted.items()}
 
-    def lease_renewed(self, sent_s: float) -> None:
+    def record_lease_renewal(self, sent_s: float) -> None:
         """Tell every partition that the member's lease was renewed."""
-        self._renewal_sent_s = sent_s
+        self._lease_renewal_sent_s = sent_s
         for hosted in self._hosted.values():
             hosted.authority.record_lease_renewal(sent_s)
 
-    def wake(self) -> None:
+    def request_reconciliation(self) -> None:
         """Look at the table soon."""
-        self._wake.set()
+        self._reconcile_requested.set()
 
-    def workers_changed(self) -> None:
+    def update_workers(self) -> None:
         """Let every partition see the changed host list."""
         for hosted in self._hosted.values():
-            hosted.show_workers()
-        self.wake()
+            hosted.update_driver_workers()
+        self.request_reconciliation()
 
     async def run(self) -> None:
         """Watch the table, for ever."""
         while True:
-            await self.watch()
+            await self.reconcile()
             try:
-                async with asyncio.timeout(WATCH_PERIOD_S):
-                    await self._wake.wait()
+                async with asyncio.timeout(RECONCILE_INTERVAL_S):
+                    await self._reconcile_requested.wait()
             except TimeoutError:
                 pass
-            self._wake.clear()
+            self._reconcile_requested.clear()
 
-    async def watch(self) -> None:
+    async def reconcile(self) -> None:
         """Read members and partitions once, then take and hand over."""
-        if not await self._membership.observe():
+        if not await self._membership.read_members():
             return
-        reading = await self._read_partitions()
-        if reading is None:
+        partitions = await self._read_partitions()
+        if partitions is None:
             return
-        self._directory.update(dict(self._membership.members), reading.rows)
+        self._directory.update(dict(self._membership.members), partitions.rows)
         if not self._membership.has_joined:
             return
-        await self._membership.declare_dead()
+        await self._membership.declare_expired_members_dead()
         async with self._lock:
-            await self._drop_lost(reading)
-            await self._take_and_hand_over(reading)
+            await self._drop_lost_partitions(partitions)
+            await self._apply_assignment(partitions)
             for hosted in list(self._hosted.values()):
-                configuration = self._configuration()
+                configuration = self._get_configuration()
                 if configuration is not None:
                     await hosted.update_witnesses(configuration)
-                await hosted.snapshot_if_due()
+                await hosted.write_snapshot_if_due()
 
     async def drop_all(self) -> None:
         """Stop driving everything, since this member was declared dead."""
@@ -166,7 +166,7 @@
             for hosted in list(self._hosted.values()):
                 await self._hand_over(hosted)
 
-    def lost(self, name: str) -> None:
+    def drop_superseded(self, name: str) -> None:
         """Stop driving a partition that has a newer owner, whatever the store says.
 
         Every heartbeat ends with it: a task that the new owner cannot reach must not
@@ -176,28 +176,28 @@
         if hosted is None or hosted.authority.is_revoked:
             return
         hosted.authority.revoke()
-        self._tools.counters.add("ownership.stale_epoch")
-        self._tools.supervisor.start(f"drop/{name}", lambda: self._drop(name))
-        self.wake()
+        self._services.counters.add("ownership.stale_epoch")
+        self._services.supervisor.start(f"drop/{name}", lambda: self._drop(name))
+        self.request_reconciliation()
 
-    async def _read_partitions(self) -> _Reading | None:
+    async def _read_partitions(self) -> _StoredPartitions | None:
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
-        reading = _Reading()
+        partitions = _StoredPartitions()
         for row in rows.ok_value:
             decoded = decode(row.value, PartitionRow)
             if isinstance(decoded, Ok):
                 name = row.key.removeprefix(PARTITION_PREFIX)
-                reading.rows[name] = decoded.ok_value
-                reading.versions[name] = row.version
-        return reading
+                partitions.rows[name] = decoded.ok_value
+                partitions.versions[name] = row.version
+        return partitions
 
-    async def _drop_lost(self, reading: _Reading) -> None:
+    async def _drop_lost_partitions(self, partitions: _StoredPartitions) -> None:
         for name, hosted in list(self._hosted.items()):
-            row = reading.rows.get(name)
-            is_newer = row is not None and row.epoch > hosted.row.epoch
-            if is_newer or hosted.authority.is_revoked:
+            row = partitions.rows.get(name)
+            has_newer_epoch = row is not None and row.epoch > hosted.row.epoch
+            if has_newer_epoch or hosted.authority.is_revoked:
                 await self._drop(name)
 
     async def _drop(self, name: str) -> None:
@@ -205,88 +205,92 @@
         if hosted is None:
             return
         log_message("partition_lost", partition=name)
-        self._tools.counters.add("ownership.lost")
+        self._services.counters.add("ownership.lost")
         await hosted.driver.close()
         self._directory.set_owner(name, None)
 
-    async def _take_and_hand_over(self, reading: _Reading) -> None:
-        configuration = self._configuration()
+    async def _apply_assignment(self, partitions: _StoredPartitions) -> None:
+        configuration = self._get_configuration()
         if configuration is None or not self._worker_list.is_loaded:
             return
-        pools = _partitions_of(configuration)
+        pools = _pools_by_partition(configuration)
         members = self._membership.members
-        preferred = assign_owners(pools, members)
-        me = self._identity.member
+        preferred_owners = assign_owners(pools, members)
+        member = self._identity.member
         for name in set(self._hosted) - set(pools):
             await self._hand_over(self._hosted[name])
         for name, pool in pools.items():
             if name in self._hosted:
-                await self._consider_handing_over(name, preferred.get(name))
+                await self._hand_over_if_not_preferred(name, preferred_owners.get(name))
                 continue
-            row = reading.rows.get(name)
+            row = partitions.rows.get(name)
             is_owned = row is not None and row.owner in members
-            if not is_owned and preferred.get(name) == me:
+            if not is_owned and preferred_owners.get(name) == member:
                 config = configuration.pools[pool]
-                await self._take(name, pool, config, row, reading)
+                await self._acquire(name, pool, config, row, partitions)
 
-    async def _consider_handing_over(self, name: str, preferred: str | None) -> None:
+    async def _hand_over_if_not_preferred(
+        self, name: str, preferred_owner: str | None
+    ) -> None:
         hosted = self._hosted[name]
-        if preferred is None or preferred == self._identity.member:
-            hosted.unwanted_since_s = None
+        if preferred_owner is None or preferred_owner == self._identity.member:
+            hosted.not_preferred_since_s = None
             return
-        now_s = self._tools.clock.now()
-        if hosted.unwanted_since_s is None:
-            hosted.unwanted_since_s = now_s
-        patience_s = 0.0 if self._membership.draining else HANDOVER_PATIENCE_S
-        if now_s - hosted.unwanted_since_s >= patience_s:
+        now_s = self._services.clock.now()
+        if hosted.not_preferred_since_s is None:
+            hosted.not_preferred_since_s = now_s
+        delay_s = 0.0 if self._membership.is_draining else HANDOVER_DELAY_S
+        if now_s - hosted.not_preferred_since_s >= delay_s:
             await self._hand_over(hosted)
 
-    async def _take(
+    async def _acquire(
         self,
         name: str,
         pool: str,
         config: PoolConfig,
         row: PartitionRow | None,
-        reading: _Reading,
+        partitions: _StoredPartitions,
     ) -> None:
         """Raise the epoch, become the owner and recover the partition's state."""
         epoch_row = await self._table.read(EPOCH_KEY)
         if isinstance(epoch_row, Err):
             return
-        stored = epoch_row.ok_value
+        stored_epoch = epoch_row.ok_value
         last_epoch = 0
-        if stored is not None:
-            decoded = decode(stored.value, EpochRow)
+        if stored_epoch is not None:
+            decoded = decode(stored_epoch.value, EpochRow)
             if isinstance(decoded, Err):
                 return
             last_epoch = decoded.ok_value.epoch
         taken_over = row is not None and row.owner != ""
-        taken = self._taken_row(name, pool, config, row, last_epoch + 1)
+        acquired_row = self._build_acquired_row(name, pool, config, row, last_epoch + 1)
         transaction = Transaction(
             writes=(
-                Write(partition_key(name), encode(taken)),
-                Write(EPOCH_KEY, encode(EpochRow(taken.epoch))),
+                Write(partition_key(name), encode(acquired_row)),
+                Write(EPOCH_KEY, encode(EpochRow(acquired_row.epoch))),
             ),
             conditions=(
                 Condition(
-                    partition_key(name), reading.versions.get(name, ABSENT_VERSION)
+                    partition_key(name), partitions.versions.get(name, ABSENT_VERSION)
+                ),
+                Condition(
+                    EPOCH_KEY, stored_epoch.version if stored_epoch else ABSENT_VERSION
                 ),
-                Condition(EPOCH_KEY, stored.version if stored else ABSENT_VERSION),
                 Condition(
-                    liveness_key(self._identity.member), self._identity.alive_version
+                    liveness_key(self._identity.member), self._identity.liveness_version
                 ),
             ),
         )
         outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Err):
-            self._tools.counters.add(f"ownership.take.{outcome.err_value.value}")
-            self._wake.set()
+            self._services.counters.add(f"ownership.take.{outcome.err_value.value}")
+            self._reconcile_requested.set()
             return
-        await self._open(
-            name, pool, config, taken, outcome.ok_value.version, taken_over
+        await self._start_hosting(
+            name, pool, config, acquired_row, outcome.ok_value.version, taken_over
         )
 
-    def _taken_row(
+    def _build_acquired_row(
         self,
         name: str,
         pool: str,
@@ -294,7 +298,9 @@
         row: PartitionRow | None,
         epoch: int,
     ) -> PartitionRow:
-        segment = JournalSegment(self._identity.member, self._tools.journal.next_number)
+        segment = JournalSegment(
+            self._identity.member, self._services.journal.next_number
+        )
         if row is None:
             listed = self._worker_list.of_partition(pool, config.slices, name)
             witnesses = tuple(sorted(info.name for info in listed))
@@ -308,7 +314,7 @@
             segments=(*row.segments, segment),
         )
 
-    async def _open(
+    async def _start_hosting(
         self,
         name: str,
         pool: str,
@@ -318,18 +324,23 @@
         taken_over: bool,
     ) -> None:
         authority = Authority(
-            self._tools.clock, row.witnesses, taken_over, config.fencing
+            self._services.clock, row.witnesses, taken_over, config.fencing
         )
-        if self._renewal_sent_s is not None:
-            authority.record_lease_renewal(self._renewal_sent_s)
-        events = await self._state.read(name, row)
+        if self._lease_renewal_sent_s is not None:
+            authority.record_lease_renewal(self._lease_renewal_sent_s)
+        events = await self._state_store.read_events(name, row)
         while isinstance(events, Err):
             log_message("recovery_failed", partition=name, error=events.err_value)
-            self._tools.counters.add("ownership.recovery_retried")
-            await asyncio.sleep(WATCH_PERIOD_S)
-            events = await self._state.read(name, row)
+            self._services.counters.add("ownership.recovery_retried")
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
+            events = await self._state_store.read_events(name, row)
         driver = PartitionDriver(
-            name, row.epoch, authority, config.order, self._tools, self.lost
+            name,
+            row.epoch,
+            authority,
+            config.order,
+            self._services,
+            self.drop_superseded,
         )
         hosted = HostedPartition(
             pool,
@@ -338,45 +349,45 @@
             row,
             row_version,
             self._table,
-            self._state,
+            self._state_store,
             self._worker_list,
             self._identity,
-            self._tools.journal,
-            self._tools.counters,
+            self._services.journal,
+            self._services.counters,
         )
         self._hosted[name] = hosted
-        driver.open(events.ok_value, hosted.listed_workers, row.witnesses)
-        self._on_taken(driver)
+        driver.start(events.ok_value, hosted.listed_workers, row.witnesses)
+        self._on_acquired(driver)
         log_message(
             "partition_taken", partition=name, epoch=row.epoch, taken_over=taken_over
         )
-        peer_address = self._identity.row(0, False).peer_address
+        peer_address = self._identity.build_row(0, False).peer_address
         owner = Owner(self._identity.member, peer_address, row.epoch)
         self._directory.set_owner(name, owner)
 
     async def _hand_over(self, hosted: HostedPartition) -> None:
         """Stop deciding, put everything on record and free the partition."""
         name = hosted.driver.name
-        await hosted.driver.settle()
+        await hosted.driver.drain_starts()
         await hosted.driver.close()
         if await self._wait_for_journal():
             await hosted.release()
-            self._tools.counters.add("ownership.handed_over")
+            self._services.counters.add("ownership.handed_over")
             log_message("partition_handed_over", partition=name)
         self._hosted.pop(name, None)
         self._directory.set_owner(name, None)
 
     async def _wait_for_journal(self) -> bool:
         """Return whether everything handed in came on record in time."""
-        give_up_s = self._tools.clock.now() + FLUSH_WAIT_S
-        while not self._tools.journal.is_idle:
-            if self._tools.clock.now() >= give_up_s:
+        deadline_s = self._services.clock.now() + JOURNAL_FLUSH_TIMEOUT_S
+        while not self._services.journal.is_idle:
+            if self._services.clock.now() >= deadline_s:
                 return False
-            await asyncio.sleep(FLUSH_POLL_S)
+            await asyncio.sleep(JOURNAL_FLUSH_POLL_INTERVAL_S)
         return True
 
 
-def _partitions_of(configuration: Configuration) -> dict[str, str]:
+def _pools_by_partition(configuration: Configuration) -> dict[str, str]:
     """Return the pool of every partition."""
     return {
         partition_name(pool, index): pool
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -26,15 +26,15 @@
     build_work_view,
 )
 from fuchsiadale.decision.work import Attempt, Submission, Work, WorkKind
-from fuchsiadale.entry.journal import Ticket
-from fuchsiadale.entry.partition_tools import PartitionTools
+from fuchsiadale.entry.driver_services import DriverServices
+from fuchsiadale.entry.journal import AppendHandle
 from fuchsiadale.entry.worker_driver import WorkerDriver
 
-TICK_S = 0.1
-RECORD_WAIT_S = 2.0
-SETTLE_WAIT_S = 3.0
-SETTLE_POLL_S = 0.01
-EXPIRY_PERIOD_S = 10.0
+TICK_INTERVAL_S = 0.1
+RECORD_TIMEOUT_S = 2.0
+START_DRAIN_TIMEOUT_S = 3.0
+START_DRAIN_POLL_INTERVAL_S = 0.01
+EXPIRY_INTERVAL_S = 10.0
 
 
 class PartitionDriver:
@@ -62,30 +62,30 @@
         epoch: int,
         authority: Authority,
         weights: OrderWeights,
-        tools: PartitionTools,
-        on_stale: Callable[[str], None],
+        services: DriverServices,
+        on_newer_epoch: Callable[[str], None],
     ) -> None:
-        self.partition = Partition(name, epoch, tools.clock, authority, weights)
-        self.reconciliation = Reconciler(self.partition, tools.clock)
+        self.partition = Partition(name, epoch, services.clock, authority, weights)
+        self.reconciler = Reconciler(self.partition, services.clock)
         self.events_since_snapshot = 0
-        self._tools = tools
-        self._on_stale = on_stale
-        self._supervisor = tools.supervisor.add(name)
+        self._services = services
+        self._on_newer_epoch = on_newer_epoch
+        self._supervisor = services.supervisor.add(name)
         self._workers: dict[str, WorkerDriver] = {}
-        self._subscribers: dict[str, set[str]] = {}
-        self._watchers: dict[str, list[asyncio.Future[None]]] = {}
-        self._awaiting_record: list[Attempt] = []
-        self._pump_due = False
+        self._result_recipients: dict[str, set[str]] = {}
+        self._completion_futures: dict[str, list[asyncio.Future[None]]] = {}
+        self._unrecorded_starts: list[Attempt] = []
+        self._is_step_scheduled = False
         self._is_closed = False
-        self._is_settling = False
-        self._last_ticket: Ticket | None = None
+        self._is_draining_starts = False
+        self._last_append_handle: AppendHandle | None = None
 
     @property
     def name(self) -> str:
         """Name of the partition."""
         return self.partition.name
 
-    def open(
+    def start(
         self,
         events: Iterable[JournalEvent],
         workers: Iterable[WorkerInfo],
@@ -102,11 +102,11 @@
         witnesses : iterable of str
             The workers in the partition's row.
         """
-        now_s = self._tools.clock.now()
+        now_s = self._services.clock.now()
         self.set_workers(workers, witnesses)
         for event in events:
             self.partition.work_registry.replay(event, self.partition.epoch, now_s)
-        self.reconciliation.recover_tasks()
+        self.reconciler.recover_tasks()
         self._supervisor.start("tick", self._tick)
 
     def set_workers(
@@ -114,26 +114,24 @@
     ) -> None:
         """Take the listed workers among the witnesses of the partition's row."""
         listed = {info.name: info for info in workers}
-        self.reconciliation.set_workers(listed.values(), witnesses)
+        self.reconciler.set_workers(listed.values(), witnesses)
         for name, info in listed.items():
             driver = self._workers.get(name)
             if driver is None or driver.address != info.address:
-                self._open_worker(info)
+                self._start_worker_driver(info)
         for name in set(self._workers) - set(listed):
             self._supervisor.end(f"{name}/session")
             self._supervisor.end(f"{name}/orders")
             del self._workers[name]
-        self.kick()
+        self.schedule_step()
 
-    def kick(self) -> None:
+    def schedule_step(self) -> None:
         """Let the partition decide soon."""
-        if not self._pump_due and not self._is_closed:
-            self._pump_due = True
-            asyncio.get_running_loop().call_soon(self._pump)
+        if not self._is_step_scheduled and not self._is_closed:
+            self._is_step_scheduled = True
+            asyncio.get_running_loop().call_soon(self._step)
 
-    async def submit(
-        self, submission: Submission, reply_to: str
-    ) -> Result[str, Refusal]:
+    async def submit(self, submission: Submission, member: str) -> Result[str, Refusal]:
         """Accept a submission for a member whose caller waits.
 
         A job is accepted only once it is on record.
@@ -143,25 +141,25 @@
         Result
             The id of the work accepted, or why it was refused.
         """
-        refusal = self._refusal_for(submission)
+        refusal = self._find_refusal(submission)
         if refusal is not None:
-            self._tools.counters.add(f"refused.{refusal.kind.value}")
+            self._services.counters.add(f"refused.{refusal.kind.value}")
             return Err(refusal)
         accepted = self.partition.accept(submission)
         if isinstance(accepted, Err):
-            self.kick()
+            self.schedule_step()
             return accepted
         work = accepted.ok_value
         work_id = work.submission.work_id
         if submission.resubmitted:
-            self.reconciliation.attach_orphans(work)
+            self.reconciler.attach_orphans(work)
         if work.submission.kind is WorkKind.REQUEST:
-            self._subscribers.setdefault(work_id, set()).add(reply_to)
+            self._result_recipients.setdefault(work_id, set()).add(member)
             if work.is_final:
-                self._finish(work)
-        self._pump()
+                self._announce_result(work)
+        self._step()
         if work.submission.kind is not WorkKind.REQUEST:
-            recorded = await self._wait_for_record(work)
+            recorded = await self._confirm_job_recorded(work)
             if isinstance(recorded, Err):
                 return recorded
         return Ok(work_id)
@@ -188,12 +186,12 @@
         work = self.partition.work_registry.works.get(work_id)
         if work is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
-        others = self._subscribers.get(work_id, set()) - {member}
-        if not others:
+        other_members = self._result_recipients.get(work_id, set()) - {member}
+        if not other_members:
             self.partition.cancel(work, reason)
-            self._pump()
+            self._step()
         is_request = work.submission.kind is WorkKind.REQUEST
-        if not is_request and not await self._is_recorded():
+        if not is_request and not await self._wait_until_recorded():
             message = f"the end of job {work_id} is under way, but not on record yet"
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
         return Ok(build_work_view(work))
@@ -204,16 +202,18 @@
         if work is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
         if not work.is_final and hold_s > 0:
-            watcher: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._watchers.setdefault(work_id, []).append(watcher)
-            await asyncio.wait([watcher], timeout=hold_s)
+            completion: asyncio.Future[None] = (
+                asyncio.get_running_loop().create_future()
+            )
+            self._completion_futures.setdefault(work_id, []).append(completion)
+            await asyncio.wait([completion], timeout=hold_s)
         return Ok(build_work_view(work))
 
     def inspect(self) -> PartitionView:
         """Return a view of the partition for operators."""
         return build_partition_view(self.partition)
 
-    def list_team(self, team: str) -> list[WorkView]:
+    def list_team_jobs(self, team: str) -> list[WorkView]:
         """Return views of a team's jobs."""
         return [
             build_work_view(work)
@@ -222,40 +222,40 @@
             and work.submission.kind is not WorkKind.REQUEST
         ]
 
-    async def settle(self) -> None:
+    async def drain_starts(self) -> None:
         """Place nothing more, and wait until every start sent was answered."""
-        self._is_settling = True
+        self._is_draining_starts = True
         self.partition.pause()
-        give_up_s = self._tools.clock.now() + SETTLE_WAIT_S
+        deadline_s = self._services.clock.now() + START_DRAIN_TIMEOUT_S
         while self.partition.work_registry.has_unconfirmed_starts():
-            if self._tools.clock.now() >= give_up_s:
+            if self._services.clock.now() >= deadline_s:
                 return
-            await asyncio.sleep(SETTLE_POLL_S)
+            await asyncio.sleep(START_DRAIN_POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """Stop deciding and talking, for good."""
         self._is_closed = True
         self.partition.authority.revoke()
-        await self._tools.supervisor.remove(self.name)
+        await self._services.supervisor.remove(self.name)
 
-    def _open_worker(self, info: WorkerInfo) -> None:
+    def _start_worker_driver(self, info: WorkerInfo) -> None:
         driver = WorkerDriver(
             info.name,
             info.address,
-            self._tools.connector.connect(info.address),
+            self._services.connector.connect(info.address),
             self.partition,
-            self.reconciliation,
-            self._tools.clock,
-            self._tools.counters,
-            self.kick,
-            lambda: self._on_stale(self.name),
+            self.reconciler,
+            self._services.clock,
+            self._services.counters,
+            self.schedule_step,
+            lambda: self._on_newer_epoch(self.name),
         )
         self._workers[info.name] = driver
         self._supervisor.start(f"{info.name}/session", driver.keep_session)
         self._supervisor.start(f"{info.name}/orders", driver.send_orders)
 
-    def _refusal_for(self, submission: Submission) -> Refusal | None:
-        if self._is_settling or self.partition.authority.is_revoked:
+    def _find_refusal(self, submission: Submission) -> Refusal | None:
+        if self._is_draining_starts or self.partition.authority.is_revoked:
             message = f"this host no longer owns partition {self.name}"
             return Refusal(ErrorKind.NOT_OWNER, message)
         is_known = submission.work_id in self.partition.work_registry.works
@@ -268,65 +268,69 @@
         return None
 
     def _is_store_failing(self) -> bool:
-        return self._tools.journal.is_failing or self._tools.is_store_failing()
+        return self._services.journal.is_failing or self._services.is_store_failing()
 
-    async def _wait_for_record(self, work: Work) -> Result[None, Refusal]:
+    async def _confirm_job_recorded(self, work: Work) -> Result[None, Refusal]:
         """Wait until a job is on record, and take it back if it cannot be."""
-        if await self._is_recorded():
+        if await self._wait_until_recorded():
             return Ok(None)
         work_id = work.submission.work_id
-        if self._tools.journal.withdraw(work_id):
+        if self._services.journal.withdraw(work_id):
             self.partition.roll_back_acceptance(work)
             message = "the store is out of reach; the job was not accepted"
             return Err(Refusal(ErrorKind.STORE_UNAVAILABLE, message))
         message = f"job {work_id} may be on record; ask for it later"
         return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
 
-    async def _is_recorded(self) -> bool:
+    async def _wait_until_recorded(self) -> bool:
         """Wait a while for the record of everything decided so far."""
         recorded = asyncio.Event()
-        ticket = self._last_ticket or self._tools.journal.append(self.name, [])
-        ticket.when_recorded(recorded.set)
+        append_handle = self._last_append_handle or self._services.journal.append(
+            self.name, []
+        )
+        append_handle.call_when_recorded(recorded.set)
         try:
-            async with asyncio.timeout(RECORD_WAIT_S):
+            async with asyncio.timeout(RECORD_TIMEOUT_S):
                 await recorded.wait()
         except TimeoutError:
             return False
         return True
 
     async def _tick(self) -> None:
-        expires_s = self._tools.clock.now() + EXPIRY_PERIOD_S
+        next_expiry_s = self._services.clock.now() + EXPIRY_INTERVAL_S
         while True:
-            await asyncio.sleep(TICK_S)
-            self.reconciliation.process_timeouts()
-            if self._tools.journal.is_failing:
-                self._start_unrecorded()
-            if self._tools.clock.now() >= expires_s:
-                expires_s += EXPIRY_PERIOD_S
-                self.partition.work_registry.remove_expired(self._tools.clock.now())
-                self.reconciliation.discard_expired_ends()
-            self.kick()
-
-    def _pump(self) -> None:
+            await asyncio.sleep(TICK_INTERVAL_S)
+            self.reconciler.process_timeouts()
+            if self._services.journal.is_failing:
+                self._send_unrecorded_starts()
+            if self._services.clock.now() >= next_expiry_s:
+                next_expiry_s += EXPIRY_INTERVAL_S
+                self.partition.work_registry.remove_expired(self._services.clock.now())
+                self.reconciler.discard_expired_ends()
+            self.schedule_step()
+
+    def _step(self) -> None:
         """Let the partition decide and carry it out."""
-        self._pump_due = False
+        self._is_step_scheduled = False
         if self._is_closed:
             return
         actions = self.partition.step()
-        self._tools.counters.add_all(actions.counts)
-        ticket = self._tools.journal.append(self.name, actions.events)
+        self._services.counters.add_all(actions.counts)
+        append_handle = self._services.journal.append(self.name, actions.events)
         self.events_since_snapshot += len(actions.events)
-        self._last_ticket = ticket
+        self._last_append_handle = append_handle
         for order in actions.stops:
             self._send_stop(order)
-        self._send_starts(actions, ticket)
+        self._send_starts(actions, append_handle)
         acknowledgements = actions.acknowledgements
         if acknowledgements:
-            ticket.when_recorded(lambda: self._acknowledge(acknowledgements))
+            append_handle.call_when_recorded(
+                lambda: self._acknowledge(acknowledgements)
+            )
         for work in actions.finished:
-            self._finish(work)
+            self._announce_result(work)
 
-    def _send_starts(self, actions: Actions, ticket: Ticket) -> None:
+    def _send_starts(self, actions: Actions, append_handle: AppendHandle) -> None:
         journalled: list[Attempt] = []
         for attempt in actions.starts:
             task = self.partition.work_registry.find_task_by_current_attempt(
@@ -337,22 +341,24 @@
             else:
                 self._send_start(attempt)
         if journalled:
-            self._awaiting_record.extend(journalled)
-            ticket.when_recorded(lambda: self._recorded(journalled))
+            self._unrecorded_starts.extend(journalled)
+            append_handle.call_when_recorded(
+                lambda: self._send_recorded_starts(journalled)
+            )
 
-    def _recorded(self, attempts: list[Attempt]) -> None:
-        waiting = {attempt.attempt_id for attempt in attempts}
-        self._awaiting_record = [
+    def _send_recorded_starts(self, attempts: list[Attempt]) -> None:
+        recorded_ids = {attempt.attempt_id for attempt in attempts}
+        self._unrecorded_starts = [
             attempt
-            for attempt in self._awaiting_record
-            if attempt.attempt_id not in waiting
+            for attempt in self._unrecorded_starts
+            if attempt.attempt_id not in recorded_ids
         ]
         for attempt in attempts:
             self._send_start(attempt)
 
-    def _start_unrecorded(self) -> None:
+    def _send_unrecorded_starts(self) -> None:
         """Send starts of idempotent work that the store cannot record now."""
-        for attempt in self._awaiting_record:
+        for attempt in self._unrecorded_starts:
             task = self.partition.work_registry.find_task_by_current_attempt(
                 attempt.attempt_id
             )
@@ -375,12 +381,12 @@
             if driver is not None:
                 driver.acknowledge(acknowledgement.attempt_id)
 
-    def _finish(self, work: Work) -> None:
+    def _announce_result(self, work: Work) -> None:
         work_id = work.submission.work_id
-        for watcher in self._watchers.pop(work_id, []):
-            if not watcher.done():
-                watcher.set_result(None)
-        for member in self._subscribers.pop(work_id, set()):
-            self._tools.send_result(
+        for completion in self._completion_futures.pop(work_id, []):
+            if not completion.done():
+                completion.set_result(None)
+        for member in self._result_recipients.pop(work_id, set()):
+            self._services.send_result(
                 member, work, lambda: self.partition.mark_delivered(work)
             )
--- a/src/fuchsiadale/entry/recovery.py
+++ b/src/fuchsiadale/entry/recovery.py
@@ -18,7 +18,7 @@
 from fuchsiadale.ports.table import TableService
 
 
-class RecordedState:
+class PartitionStateStore:
     """The snapshots and journals of all partitions.
 
     Parameters
@@ -33,7 +33,7 @@
         self._table = table
         self._objects = objects
 
-    async def read(
+    async def read_events(
         self, partition: str, row: PartitionRow
     ) -> Result[list[JournalEvent], str]:
         """Return the events that lead to a partition's state, in order."""
@@ -45,7 +45,7 @@
             decoded = decode(body.ok_value, JournalRow)
             if isinstance(decoded, Err):
                 return Err(f"snapshot {row.snapshot}: {decoded.err_value}")
-            events.extend(_events_of(decoded.ok_value, partition))
+            events.extend(_events_of_partition(decoded.ok_value, partition))
         for segment in row.segments:
             found = await self._read_segment(partition, segment)
             if isinstance(found, Err):
@@ -53,14 +53,14 @@
             events.extend(found.ok_value)
         return Ok(events)
 
-    async def write_snapshot(self, name: str, entry: JournalRow) -> Result[None, str]:
+    async def write_snapshot(self, name: str, row: JournalRow) -> Result[None, str]:
         """Write a snapshot under a name that was never used."""
-        written = await self._objects.put(name, encode(entry))
+        written = await self._objects.put(name, encode(row))
         if isinstance(written, Err):
             return Err(f"snapshot {name} cannot be written")
         return Ok(None)
 
-    async def discard_snapshot(self, name: str) -> None:
+    async def delete_snapshot(self, name: str) -> None:
         """Remove a snapshot that no row refers to."""
         await self._objects.delete(name)
 
@@ -80,11 +80,11 @@
             decoded = decode(row.value, JournalRow)
             if isinstance(decoded, Err):
                 return Err(f"journal row {row.key}: {decoded.err_value}")
-            events.extend(_events_of(decoded.ok_value, partition))
+            events.extend(_events_of_partition(decoded.ok_value, partition))
         return Ok(events)
 
 
-def _events_of(row: JournalRow, partition: str) -> list[JournalEvent]:
+def _events_of_partition(row: JournalRow, partition: str) -> list[JournalEvent]:
     return [
         event
         for entry in row.entries
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -10,7 +10,7 @@
 from fuchsiadale.config.located import SourceFile
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.decision.ledger import WorkerInfo
-from fuchsiadale.entry.node import EntryNode, Platform
+from fuchsiadale.entry.node import EntryNode, PlatformClients
 from fuchsiadale.ids import IdSource
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.table import (
@@ -145,7 +145,7 @@
             platform_url="",
             drain_notice_s=0.5,
         )
-        platform = Platform(
+        platform = PlatformClients(
             LinkedTable(self.state, links),
             LinkedObjects(self.state, links),
             MemoryHostList(self.state),
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -150,7 +150,7 @@
 
 def test_new_owner_recovers_from_snapshot_and_truncated_journal() -> None:
     async def session() -> None:
-        with patch.object(hosted_partition, "SNAPSHOT_ROWS", 10):
+        with patch.object(hosted_partition, "SNAPSHOT_ROW_THRESHOLD", 10):
             async with TestCluster(nodes=2) as cluster:
                 owner = cluster.owner()
                 assert owner is not None
