--- a/src/fuchsiadale/entry/__init__.py
+++ b/src/fuchsiadale/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: drivers around the decision logic."""
+"""The daemon of an entry host, which connects the decision logic to the network."""
--- a/src/fuchsiadale/entry/daemon.py
+++ b/src/fuchsiadale/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: listens for callers and peers."""
+"""The entry daemon, which listens for clients and peers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class EntryDaemon:
-    """One entry process: a node and its listening sockets.
+    """An entry process: an entry node and its listening sockets.
 
     Parameters
     ----------
     settings : Settings
-        Its settings.
+        The settings of the process.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -45,13 +45,13 @@
 
     @property
     def callers_port(self) -> int:
-        """The port on which callers are answered."""
+        """Port on which the daemon listens for clients."""
         if self._app_runner is None or not self._app_runner.addresses:
             return self.settings.callers.port
         return int(self._app_runner.addresses[0][1])
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start the node and listen for peers and clients."""
         await self._peer_server.start()
         self.node.start()
         self._app_runner = web.AppRunner(build_app(self.node), access_log=None)
@@ -60,11 +60,11 @@
         await web.TCPSite(self._app_runner, callers.ip, callers.port).start()
 
     async def drain(self) -> None:
-        """Stop without cutting a request."""
+        """Prepare a stop of the process without interrupting any request."""
         await self.node.drain()
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Close every socket and stop the node immediately."""
         if self._app_runner is not None:
             await self._app_runner.cleanup()
         await self._peer_server.stop()
@@ -73,7 +73,7 @@
 
 
 def build_app(node: EntryNode) -> web.Application:
-    """Return the HTTP application of a node."""
+    """Return the HTTP application that serves clients, operators and health checks."""
     app = web.Application(client_max_size=MAX_BODY_BYTES)
     CallersApi(
         node.config,
--- a/src/fuchsiadale/entry/directory.py
+++ b/src/fuchsiadale/entry/directory.py
@@ -1,4 +1,4 @@
-"""Who owns which partition, as last read from the table."""
+"""The members and the owners of partitions, as last read from the table."""
 
 from __future__ import annotations
 
@@ -12,7 +12,17 @@
 
 @frozen
 class Owner:
-    """The owner of a partition and where its peers reach it."""
+    """The owner of a partition.
+
+    Attributes
+    ----------
+    member : str
+        Name of the member that owns the partition.
+    peer_address : str
+        Address at which the member listens for its peers.
+    epoch : int
+        Epoch of the ownership.
+    """
 
     member: str
     peer_address: str
@@ -20,12 +30,12 @@
 
 
 class Directory:
-    """Maps partitions to owners and wakes those who wait for a change.
+    """Maps partitions to their owners and notifies waiting tasks of changes.
 
     Attributes
     ----------
     on_change : callable
-        Called after an owner has changed.
+        Called without arguments after an owner has changed.
     """
 
     def __init__(self) -> None:
@@ -36,18 +46,28 @@
 
     @property
     def members(self) -> dict[str, MemberRow]:
-        """The members, by name."""
+        """The rows of the members by member name."""
         return self._members
 
     @property
     def owners(self) -> dict[str, Owner]:
-        """The owners, by partition."""
+        """The owners by partition name."""
         return self._owners
 
     def update(
         self, members: dict[str, MemberRow], partitions: dict[str, PartitionRow]
     ) -> None:
-        """Take a whole reading of the table."""
+        """Replace all members and owners by those read from the table.
+
+        A partition whose owner is not among the members has no owner.
+
+        Parameters
+        ----------
+        members : dict of str to MemberRow
+            The rows of the members by member name.
+        partitions : dict of str to PartitionRow
+            The rows of the partitions by partition name.
+        """
         owners: dict[str, Owner] = {}
         for name, row in partitions.items():
             member = members.get(row.owner)
@@ -60,7 +80,7 @@
             self._signal_change()
 
     def set_owner(self, partition: str, owner: Owner | None) -> None:
-        """Take one change that this process made itself."""
+        """Set the owner of one partition; None removes its owner."""
         if owner is None:
             self._owners.pop(partition, None)
         else:
@@ -68,7 +88,7 @@
         self._signal_change()
 
     async def wait_for_change(self, timeout_s: float) -> None:
-        """Return at the next change, or after `timeout_s` seconds."""
+        """Wait for the next change of an owner, for at most `timeout_s` seconds."""
         changed = self._changed
         try:
             async with asyncio.timeout(timeout_s):
@@ -83,4 +103,4 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing."""
+    """Ignore a change, until a callback is set."""
--- a/src/fuchsiadale/entry/driver_services.py
+++ b/src/fuchsiadale/entry/driver_services.py
@@ -1,4 +1,4 @@
-"""What the partition drivers of a process share."""
+"""Services that all partition drivers of a process share."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 
 @frozen
 class DriverServices:
-    """What every partition driver of a process shares.
+    """Services that all partition drivers of a process share.
 
     Attributes
     ----------
     clock : Clock
-        The clock.
+        Clock of the process.
     journal : Journal
-        The member's journal.
+        Journal of the member, which all its partitions write to.
     connector : BackendConnector
-        Makes clients of backend servers.
+        Creates clients of backend servers.
     counters : Counters
-        Takes the counts.
+        Counts events by name.
     supervisor : Supervisor
-        The parent of the drivers' supervisors.
+        Parent of the supervisors of the drivers.
     send_result : callable
-        Takes a member, finished work and what to call once the member has it.
+        Sends the result of finished work to a member. Takes the name of the member, the
+        work, and a callable that is called once the member has received the result.
     is_store_failing : callable
-        Tells whether the table service answers.
+        Returns whether the last call to the table service failed.
     """
 
     clock: Clock
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -1,4 +1,4 @@
-"""A partition that this member owns: its driver and its row in the table."""
+"""A partition that this member owns, with its driver and its row in the table."""
 
 from __future__ import annotations
 
@@ -30,38 +30,47 @@
     transact_with_readback,
 )
 
+# Events since the last snapshot from which a new snapshot is due.
 SNAPSHOT_EVENT_THRESHOLD = 5000
+# Rows of the member's journal since the last segment began from which one is due.
 SNAPSHOT_ROW_THRESHOLD = 2000
+# Number of journal segments above which one is due.
 MAX_SEGMENTS = 4
 
 
 class HostedPartition:
-    """Keeps the row of an owned partition in step with its driver.
+    """Updates the row of an owned partition as the state of its driver changes.
 
     Parameters
     ----------
     pool : str
-        The pool that it is a slice of.
+        Name of the pool that the partition is a slice of.
     driver : PartitionDriver
-        Drives it.
+        Driver of the partition.
     authority : Authority
-        The right to act for it.
+        Authority to act for the partition.
     row : PartitionRow
-        Its row.
+        Row of the partition.
     row_version : int
-        The row's version.
+        Version of the row.
     table : TableService
-        Holds the row.
-    state : RecordedState
-        Takes snapshots.
+        The table that holds the row.
+    state_store : PartitionStateStore
+        Stores snapshots.
     worker_list : WorkerList
-        The workers.
+        The listed workers.
     identity : Identity
-        This member.
+        Identity of this member.
     journal : Journal
-        Its journal.
+        Journal of this member.
     counters : Counters
-        Takes the counts.
+        Counts the snapshots.
+
+    Attributes
+    ----------
+    not_preferred_since_s : float or None
+        Time since which the assignment prefers another owner, on the local clock in
+        seconds; None if it does not.
     """
 
     def __init__(
@@ -93,7 +102,7 @@
 
     @property
     def listed_workers(self) -> list[WorkerInfo]:
-        """The listed workers among the partition's witnesses."""
+        """The workers on the host list that are witnesses of the partition."""
         workers_by_name = self._worker_list.workers
         return [
             workers_by_name[name]
@@ -102,17 +111,32 @@
         ]
 
     def update_driver_workers(self) -> None:
-        """Let the driver see the host list and the witnesses."""
+        """Pass the listed workers and the witnesses to the driver."""
         self.driver.set_workers(self.listed_workers, self.row.witnesses)
 
     async def release(self) -> bool:
-        """Free the partition; return whether the row surely says so."""
+        """Remove this member as owner from the row of the partition.
+
+        Returns
+        -------
+        bool
+            Whether the row is certainly written.
+        """
         last = self._journal.next_number - 1
         segments = (*self.row.segments[:-1], evolve(self.row.segments[-1], last=last))
         return await self._write_row(evolve(self.row, owner="", segments=segments))
 
     async def update_witnesses(self, configuration: Configuration) -> None:
-        """Bring the row's witness set to the workers listed or charged."""
+        """Update the witnesses in the row of the partition.
+
+        The witnesses are the listed workers of the partition and all workers that still
+        have attempts of it.
+
+        Parameters
+        ----------
+        configuration : Configuration
+            The configuration in force.
+        """
         pool = configuration.pools.get(self.pool)
         if pool is None:
             return
@@ -133,10 +157,10 @@
             self.update_driver_workers()
 
     async def write_snapshot_if_due(self) -> None:
-        """Replace the journal so far by a snapshot once it has grown long.
+        """Write a snapshot that replaces the journal segments once they are long.
 
-        A quiet partition is written too, since it holds back the cutting of the whole
-        member's journal.
+        This includes a partition without new events, because its old segment prevents
+        the truncation of the whole journal of the member.
         """
         first = self._journal.next_number
         segments = self.row.segments
@@ -147,7 +171,7 @@
             await self._write_snapshot(first)
 
     async def _write_snapshot(self, first: int) -> None:
-        """Write a snapshot that holds everything recorded before row `first`."""
+        """Write a snapshot that replaces all journal rows before row `first`."""
         entry = JournalEntry(
             self.driver.name,
             list(self.driver.partition.work_registry.snapshot_events()),
@@ -165,6 +189,7 @@
                 await self._state_store.delete_snapshot(previous_snapshot)
 
     async def _write_row(self, row: PartitionRow) -> bool:
+        """Write the row unless it has changed, and return whether it is written."""
         key = partition_key(self.driver.name)
         transaction = Transaction(
             writes=(Write(key, encode(row)),),
--- a/src/fuchsiadale/entry/identity.py
+++ b/src/fuchsiadale/entry/identity.py
@@ -1,4 +1,4 @@
-"""Which member of the cluster this process is."""
+"""The identity of this process as a member of the cluster."""
 
 from __future__ import annotations
 
@@ -7,20 +7,28 @@
 
 
 class Identity:
-    """The member that this process is at present.
+    """The identity of this process as a member of the cluster.
 
-    A process that was declared dead while it was paused joins again as a new member.
+    A process that was declared dead, for example while it was paused, joins again as a
+    new member with another name.
 
     Parameters
     ----------
     host : str
         Name of the entry host.
     failure_domain : str
-        Its failure domain.
+        Failure domain of the host.
     peer_address : str
-        Where its peers reach it.
+        Address at which the process listens for its peers.
     ids : IdSource
-        Makes the members' names unique.
+        Generates the random part of the member names.
+
+    Attributes
+    ----------
+    member : str
+        Name of the current member.
+    liveness_version : int
+        Version of the liveness row of the member in the table; 0 until it has joined.
     """
 
     def __init__(
@@ -35,12 +43,25 @@
         self.assign_new_member()
 
     def assign_new_member(self) -> None:
-        """Become a new member that has not joined yet."""
+        """Take the name of a new member that has not joined yet."""
         self.member = f"{self._host}.{self._ids.new()[:8]}"
         self.liveness_version = 0
 
     def build_row(self, renewals: int, draining: bool) -> MemberRow:
-        """Return this member's row."""
+        """Return the row of the current member.
+
+        Parameters
+        ----------
+        renewals : int
+            Number of renewals of the row so far.
+        draining : bool
+            Whether the process is about to stop.
+
+        Returns
+        -------
+        MemberRow
+            The row to write to the table.
+        """
         return MemberRow(
             member=self.member,
             host=self._host,
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -1,4 +1,4 @@
-"""The journal of one member: group commits of the events of its partitions."""
+"""The journal of a member, which records the events of its partitions in groups."""
 
 from __future__ import annotations
 
@@ -33,7 +33,9 @@
     Write,
 )
 
+# Delay after the first event of a batch, in which further events join the batch.
 GROUP_COMMIT_DELAY_S = 0.025
+# Delay before a failed write of a batch is retried.
 COMMIT_RETRY_DELAY_S = 0.25
 
 Callback = Callable[[], None]
@@ -41,28 +43,28 @@
 
 @define(eq=False)
 class AppendHandle:
-    """Stands for events that are to be recorded.
+    """Tells whether events that were appended to the journal are recorded.
 
     Attributes
     ----------
     recorded : bool
-        Whether they are on record.
+        Whether the events are recorded.
     callbacks : list of callable
-        Called once they are.
+        Called once the events are recorded.
     """
 
     is_recorded: bool = False
     callbacks: list[Callback] = field(factory=list)
 
     def call_when_recorded(self, callback: Callback) -> None:
-        """Call back once the events are on record, at once if they are."""
+        """Call `callback` once the events are recorded, or now if they already are."""
         if self.is_recorded:
             callback()
         else:
             self.callbacks.append(callback)
 
     def mark_recorded(self) -> None:
-        """Note that the events are on record."""
+        """Mark the events as recorded and call the callbacks."""
         self.is_recorded = True
         for callback in self.callbacks:
             callback()
@@ -78,21 +80,22 @@
 
 
 class Journal:
-    """Records events in one row every `GROUP_COMMIT_S` seconds at most.
+    """Records events in groups, at most one row every `GROUP_COMMIT_DELAY_S` seconds.
 
-    A row is written only while the member's ``alive`` row is in place, so a member
-    that was declared dead records nothing more.
+    Each write requires that the liveness row of the member, whose key begins with
+    ``alive/``, is unchanged. A member that was declared dead therefore records nothing
+    more.
 
     Parameters
     ----------
     table : TableService
-        The table.
+        The table that entry hosts share.
     identity : Identity
-        The member that writes.
+        Identity of the member that writes the journal.
     counters : Counters
-        Takes the counts.
+        Counts recorded rows and retries.
     on_lost : callable
-        Called when the member turns out to have been declared dead.
+        Called when a write shows that the member was declared dead.
     """
 
     def __init__(
@@ -114,21 +117,34 @@
 
     @property
     def next_number(self) -> int:
-        """The number that the next row will have."""
+        """Number of the next row to be written."""
         return self._next_number
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last attempt to record failed."""
+        """Whether the last write of a batch failed."""
         return self._is_failing
 
     @property
     def is_idle(self) -> bool:
-        """Whether everything handed in is on record."""
+        """Whether all appended events are recorded."""
         return self._flushing_batch is None and not self._open_batch.entries
 
     def append(self, partition: str, events: list[JournalEvent]) -> AppendHandle:
-        """Hand in events of a partition; those without any wait for earlier ones."""
+        """Append events of a partition to the journal.
+
+        Parameters
+        ----------
+        partition : str
+            Name of the partition.
+        events : list of JournalEvent
+            The events in order; if empty, nothing is appended.
+
+        Returns
+        -------
+        AppendHandle
+            Reports when these events and all those appended before are recorded.
+        """
         if events:
             self._open_batch.entries.append(JournalEntry(partition, events))
             self._has_new_events.set()
@@ -141,7 +157,19 @@
         return self._open_batch.append_handle
 
     def withdraw(self, work_id: str) -> bool:
-        """Take back the events of a work; False if they may be on record."""
+        """Remove the events of a work item that are not recorded yet.
+
+        Parameters
+        ----------
+        work_id : str
+            Id of the work item.
+
+        Returns
+        -------
+        bool
+            Whether the events were removed or there are none; False if the events may
+            be recorded already.
+        """
         for batch in (self._flushing_batch, self._open_batch):
             if batch is None:
                 continue
@@ -156,14 +184,14 @@
         return True
 
     def reset_for_new_member(self) -> None:
-        """Begin the journal of a new member; what was not recorded is dropped."""
+        """Start the journal of a new member and discard events not recorded yet."""
         self._next_number = 1
         self._open_batch = _Batch()
         self._flushing_batch = None
         self._is_failing = False
 
     async def run(self) -> None:
-        """Record what is handed in, for ever."""
+        """Record appended events until cancelled."""
         while True:
             await self._has_new_events.wait()
             await asyncio.sleep(GROUP_COMMIT_DELAY_S)
@@ -171,7 +199,7 @@
             await self._flush()
 
     async def _flush(self) -> None:
-        """Record the present batch, trying until it surely is on record."""
+        """Write the open batch and retry until it is certainly recorded."""
         batch = self._open_batch
         if not batch.entries:
             return
@@ -214,7 +242,16 @@
         return await self._resolve_conflict(key, transaction.nonce)
 
     async def _resolve_conflict(self, key: str, nonce: str) -> bool:
-        """Tell a row written after all from a member that was declared dead."""
+        """Find out why the conditions of a write did not hold.
+
+        Either an earlier attempt with the same nonce has written the row, or this
+        member was declared dead.
+
+        Returns
+        -------
+        bool
+            Whether the row is recorded; also False if the table does not answer.
+        """
         found = await self._table.read(key)
         if isinstance(found, Err):
             return False
@@ -228,6 +265,7 @@
 
 
 def _event_work_id(event: JournalEvent) -> str:
+    """Return the id of the work item that an event belongs to."""
     match event:
         case AcceptedEvent(submission=submission):
             return submission.work_id
@@ -237,6 +275,7 @@
 
 
 def _match_events(batch: _Batch, work_id: str) -> list[bool]:
+    """Return for each event of a batch whether it belongs to the work item."""
     return [
         _event_work_id(event) == work_id
         for entry in batch.entries
--- a/src/fuchsiadale/entry/journal_cleaner.py
+++ b/src/fuchsiadale/entry/journal_cleaner.py
@@ -1,4 +1,4 @@
-"""Removes journal rows that no partition needs any more."""
+"""Removes journal rows that no partition needs for its recovery."""
 
 from __future__ import annotations
 
@@ -24,24 +24,27 @@
 
 CLEANING_INTERVAL_S = 20.0
 ROWS_PER_TRANSACTION = 100
+# Hashed to choose the one member that removes the journals of former members.
 ORPHAN_REMOVER_KEY = "janitor"
 
 
 class JournalCleaner:
-    """Cuts this member's journal, and removes those of members that are gone.
+    """Truncates the journal of this member and removes the journals of former members.
+
+    Only one member, which all choose alike, removes the journals of former members.
 
     Parameters
     ----------
     table : TableService
-        The table.
+        The table that entry hosts share.
     identity : Identity
-        This member.
+        Identity of this member.
     journal : Journal
-        Its journal.
-    members : callable
-        Returns the names of the members.
+        Journal of this member.
+    list_members : callable
+        Returns the names of the current members.
     counters : Counters
-        Takes the counts.
+        Counts the removed rows.
     """
 
     def __init__(
@@ -61,14 +64,15 @@
         self._first_kept_row = 1
 
     async def run(self) -> None:
-        """Clean, for ever."""
+        """Remove unneeded rows periodically until cancelled."""
         while True:
             await asyncio.sleep(CLEANING_INTERVAL_S)
             await self.clean()
 
     async def clean(self) -> None:
-        """Remove once what is not needed."""
-        # Read before the rows: a partition taken from now on begins at a later number.
+        """Remove the journal rows that no partition needs at present."""
+        # Must precede the read of the partition rows: a partition that this member
+        # acquires from now on has no events in rows below this number.
         next_number = self._journal.next_number
         first_needed_rows = await self._read_first_needed_rows()
         if first_needed_rows is None:
@@ -84,7 +88,13 @@
             await self._remove_orphaned_journals(set(first_needed_rows))
 
     async def _read_first_needed_rows(self) -> dict[str, int] | None:
-        """Return the first row that some partition needs of each journal."""
+        """Return the number of the first row of each journal that a partition needs.
+
+        Returns
+        -------
+        dict of str to int or None
+            The row numbers by member name; None if a partition row cannot be read.
+        """
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
@@ -99,6 +109,7 @@
         return first_needed_rows
 
     async def _truncate_own_journal(self, first_kept_row: int) -> None:
+        """Delete the rows of this member's journal before `first_kept_row`."""
         keys = [
             journal_key(self._truncated_member, number)
             for number in range(self._first_kept_row, first_kept_row)
@@ -107,7 +118,7 @@
             self._first_kept_row = max(self._first_kept_row, first_kept_row)
 
     async def _remove_orphaned_journals(self, needed_members: set[str]) -> None:
-        """Remove the journals of members that are gone and that nobody needs."""
+        """Remove the journals of former members that no partition needs."""
         markers = await self._table.scan(JOURNAL_MARKER_PREFIX)
         if isinstance(markers, Err):
             return
@@ -123,7 +134,7 @@
                 await self._delete_rows([journal_marker_key(member)])
 
     async def _delete_rows(self, keys: list[str]) -> bool:
-        """Delete rows in batches; return whether all of them are gone."""
+        """Delete rows in batches and return whether all of them were deleted."""
         for start in range(0, len(keys), ROWS_PER_TRANSACTION):
             batch = keys[start : start + ROWS_PER_TRANSACTION]
             writes = tuple(Write(key, None) for key in batch)
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -1,4 +1,4 @@
-"""Renews this member's lease and watches the others'."""
+"""Renews the lease of this member and detects expired leases of other members."""
 
 from __future__ import annotations
 
@@ -36,22 +36,30 @@
 
 
 class MembershipDriver:
-    """Keeps this process a member and declares expired members dead.
+    """Keeps this process a member and declares members with expired leases dead.
+
+    A member renews its lease by writing its row again.
 
     Parameters
     ----------
     table : TableService
-        The table.
+        The table that entry hosts share.
     identity : Identity
-        The member that this process is.
+        Identity of this member.
     clock : Clock
-        The clock.
+        Clock of the process.
     counters : Counters
-        Takes the counts.
+        Counts renewal failures and members declared dead.
     on_renewed : callable
-        Called with the time at which a successful renewal was sent.
+        Called after each successful renewal with the time at which it was sent.
     on_lost : callable
-        Awaited when this member was declared dead, before it joins anew.
+        Awaited when this member was declared dead, before the process joins as a new
+        member.
+
+    Attributes
+    ----------
+    is_draining : bool
+        Whether the process is about to stop.
     """
 
     def __init__(
@@ -76,16 +84,16 @@
 
     @property
     def members(self) -> dict[str, MemberRow]:
-        """The members as last read."""
+        """The rows of the members as last read, by member name."""
         return self._lease_tracker.members
 
     @property
     def has_joined(self) -> bool:
-        """Whether this member's rows are in place."""
+        """Whether this member has written its rows to the table."""
         return self._identity.liveness_version > 0
 
     async def run(self) -> None:
-        """Join, then renew the lease, for ever."""
+        """Join and then renew the lease periodically until cancelled."""
         while True:
             if self.has_joined:
                 await self.renew()
@@ -94,7 +102,7 @@
             await asyncio.sleep(MEMBER_RENEWAL_INTERVAL_S)
 
     async def join(self) -> None:
-        """Write this member's rows for the first time."""
+        """Join the cluster by writing the rows of this member for the first time."""
         sent_s = self._clock.now()
         member = self._identity.member
         row = self._identity.build_row(self._renewals, self.is_draining)
@@ -115,7 +123,11 @@
         log_message("member_joined", member=member)
 
     async def renew(self) -> None:
-        """Write this member's row anew, which is the lease of all it owns."""
+        """Renew the lease of this member by writing its row again.
+
+        The lease covers all partitions that the member owns. If the member was declared
+        dead, the process joins again as a new member.
+        """
         sent_s = self._clock.now()
         self._renewals += 1
         member = self._identity.member
@@ -138,7 +150,7 @@
             await self.rejoin()
 
     async def rejoin(self) -> None:
-        """Give up what this member owned and become a new one."""
+        """Give up the partitions of this member and join again as a new member."""
         log_message("member_lost", member=self._identity.member)
         self._counters.add("membership.lost")
         await self._on_declared_dead()
@@ -146,7 +158,7 @@
         await self.join()
 
     async def read_members(self) -> bool:
-        """Read the members' rows; return whether the store answered."""
+        """Read the rows of all members and return whether the table answered."""
         rows = await self._table.scan(MEMBER_PREFIX)
         if isinstance(rows, Err):
             self._lease_tracker.restart_leases()
@@ -160,7 +172,10 @@
         return True
 
     async def declare_expired_members_dead(self) -> None:
-        """Remove the members whose leases expired before this one's eyes."""
+        """Declare members dead whose leases expired, by removing their rows.
+
+        A row that was renewed since it was read is kept.
+        """
         for expired in self._lease_tracker.expired_members():
             member = expired.row.member
             if member == self._identity.member:
@@ -178,7 +193,7 @@
                 log_message("member_declared_dead", member=member)
 
     async def leave(self) -> None:
-        """Remove this member's rows after everything was handed over."""
+        """Remove the rows of this member after its partitions were handed over."""
         member = self._identity.member
         transaction = Transaction(
             writes=(
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -1,4 +1,4 @@
-"""The parts of an entry process, how they hang together, and how they drain."""
+"""Builds, starts, drains and stops the parts of an entry process."""
 
 from __future__ import annotations
 
@@ -46,7 +46,17 @@
 
 @frozen
 class PlatformClients:
-    """Clients of the platform."""
+    """The clients of the platform that an entry process uses.
+
+    Attributes
+    ----------
+    table : TableService
+        Client of the table that entry hosts share.
+    objects : ObjectStore
+        Client of the object store.
+    hosts : HostList
+        Client of the list of workers.
+    """
 
     table: TableService
     objects: ObjectStore
@@ -54,27 +64,27 @@
 
 
 class EntryNode:
-    """All parts of an entry process that need no listening socket.
+    """An entry process without its listening sockets.
 
     Parameters
     ----------
     settings : Settings
-        The process's settings.
+        The settings of the process.
     platform : Platform
-        Clients of the platform.
-    connector : BackendConnector
-        Makes clients of backend servers.
+        Clients of the platform services.
+    backend_connector : BackendConnector
+        Creates clients of backend servers.
     peer_connector : PeerConnector
-        Connects to peers.
+        Creates clients of peers, which are the other entry processes.
     ids : IdSource, optional
-        Makes identifiers; random ones if not given.
+        Generates identifiers; random ones by default.
 
     Attributes
     ----------
     counters : MemoryCounters
-        The counts of this process.
+        Counters of the events in this process.
     peer_service : PeerService
-        Answers peers.
+        Handles calls from peers.
     """
 
     def __init__(
@@ -103,37 +113,37 @@
 
     @property
     def ownership(self) -> OwnershipDriver:
-        """The partitions of this process."""
+        """The driver of the partitions that this process owns."""
         return self._ownership
 
     @property
     def config(self) -> ConfigDriver:
-        """The configuration."""
+        """The driver that holds the configuration in force."""
         return self._config
 
     @property
     def router(self) -> Router:
-        """Follows the callers' work."""
+        """The router that sends the work of clients to the owners of partitions."""
         return self._router
 
     @property
     def directory(self) -> Directory:
-        """Members and owners."""
+        """The directory of members and of the owners of partitions."""
         return self._directory
 
     @property
     def member(self) -> str:
-        """The member that this process is at present."""
+        """Name under which this process is currently a member of the cluster."""
         return self._identity.member
 
     @property
     def refuses_submissions(self) -> bool:
-        """Whether no more work is taken in."""
+        """Whether new work is refused because the process drains."""
         return self._refuses_submissions
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the load balancer should send clients to this process."""
         return (
             self._is_ready_to_serve
             and self._config.freshness.is_fresh()
@@ -142,7 +152,7 @@
         )
 
     def start(self) -> None:
-        """Run every driver."""
+        """Start every driver in the background."""
         for name, run_driver in (
             ("journal", self._journal.run),
             ("config", self._config.run),
@@ -157,10 +167,12 @@
         log_message("entry_started", member=self._identity.member)
 
     async def drain(self) -> None:
-        """Stop without cutting a request.
+        """Prepare a stop of the process without interrupting any request.
 
-        Not ready first, so that the balancer sends callers elsewhere; then refuse new
-        work, hand over every partition and wait for the callers in hand.
+        The process first reports that it is not ready, so that the load balancer sends
+        clients elsewhere. After the notice period it refuses new work, hands over every
+        partition, and waits until the requests of its own clients have ended and the
+        other members have received the results that they wait for.
         """
         log_message("drain_started", member=self._identity.member)
         self._is_ready_to_serve = False
@@ -177,7 +189,7 @@
         log_message("drain_finished", member=self._identity.member)
 
     async def stop(self) -> None:
-        """End every driver and close every connection at once."""
+        """Stop every driver and close every connection immediately."""
         await self._supervisor.stop()
         await self._peer_set.close()
         await self._backend_connector.close()
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -1,4 +1,4 @@
-"""Takes, keeps and hands over partitions."""
+"""Acquires, keeps and hands over partitions."""
 
 from __future__ import annotations
 
@@ -40,6 +40,7 @@
 )
 
 RECONCILE_INTERVAL_S = 1.0
+# Time for which another owner must be preferred before a partition is handed over.
 HANDOVER_DELAY_S = 3.0
 JOURNAL_FLUSH_TIMEOUT_S = 5.0
 JOURNAL_FLUSH_POLL_INTERVAL_S = 0.01
@@ -47,33 +48,35 @@
 
 @define
 class _StoredPartitions:
+    """The rows of the partitions and their versions, by partition name."""
+
     rows: dict[str, PartitionRow] = field(factory=dict)
     versions: dict[str, int] = field(factory=dict)
 
 
 class OwnershipDriver:
-    """Decides which partitions this member owns.
+    """Acquires and hands over partitions until the assignment and the table agree.
 
     Parameters
     ----------
     table : TableService
-        The table.
-    state : RecordedState
-        Snapshots and journals.
+        The table that entry hosts share.
+    state_store : PartitionStateStore
+        Stores the snapshots and journals of partitions.
     identity : Identity
-        This member.
+        Identity of this member.
     membership : MembershipDriver
-        The members.
+        Driver of the membership of this process.
     directory : Directory
-        Takes the owners.
+        Directory that is updated with the owners.
     worker_list : WorkerList
-        The workers.
-    tools : PartitionTools
-        What partition drivers share.
-    configuration : callable
-        Returns the configuration in force, or None before there is one.
-    on_taken : callable
-        Called with the driver of a partition that was taken.
+        The listed workers.
+    services : DriverServices
+        Services that all partition drivers share.
+    get_configuration : callable
+        Returns the configuration in force, or None before one is known.
+    on_acquired : callable
+        Called with the driver of each acquired partition once it has started.
     """
 
     def __init__(
@@ -104,27 +107,27 @@
 
     @property
     def drivers(self) -> dict[str, PartitionDriver]:
-        """The drivers of the partitions that this member owns, by name."""
+        """The drivers of the partitions that this member owns, by partition name."""
         return {name: hosted.driver for name, hosted in self._hosted.items()}
 
     def record_lease_renewal(self, sent_s: float) -> None:
-        """Tell every partition that the member's lease was renewed."""
+        """Record for all partitions a lease renewal that was sent at `sent_s`."""
         self._lease_renewal_sent_s = sent_s
         for hosted in self._hosted.values():
             hosted.authority.record_lease_renewal(sent_s)
 
     def request_reconciliation(self) -> None:
-        """Look at the table soon."""
+        """Request a reconciliation without waiting for the next interval."""
         self._reconcile_requested.set()
 
     def update_workers(self) -> None:
-        """Let every partition see the changed host list."""
+        """Pass the changed host list to all partitions."""
         for hosted in self._hosted.values():
             hosted.update_driver_workers()
         self.request_reconciliation()
 
     async def run(self) -> None:
-        """Watch the table, for ever."""
+        """Reconcile periodically and on request until cancelled."""
         while True:
             await self.reconcile()
             try:
@@ -135,7 +138,11 @@
             self._reconcile_requested.clear()
 
     async def reconcile(self) -> None:
-        """Read members and partitions once, then take and hand over."""
+        """Read members and partitions once and act on what has changed.
+
+        Members with expired leases are declared dead, lost partitions are dropped, and
+        partitions are acquired or handed over as the assignment requires.
+        """
         if not await self._membership.read_members():
             return
         partitions = await self._read_partitions()
@@ -155,22 +162,24 @@
                 await hosted.write_snapshot_if_due()
 
     async def drop_all(self) -> None:
-        """Stop driving everything, since this member was declared dead."""
+        """Stop driving all partitions after this member was declared dead."""
         async with self._lock:
             for name in list(self._hosted):
                 await self._drop(name)
 
     async def hand_over_all(self) -> None:
-        """Hand over every partition before a planned stop."""
+        """Hand over all partitions before a planned stop."""
         async with self._lock:
             for hosted in list(self._hosted.values()):
                 await self._hand_over(hosted)
 
     def drop_superseded(self, name: str) -> None:
-        """Stop driving a partition that has a newer owner, whatever the store says.
+        """Stop driving a partition after a worker reported a newer epoch.
 
-        Every heartbeat ends with it: a task that the new owner cannot reach must not
-        have its lease renewed while the new owner waits for the lease to lapse.
+        This does not depend on the partition row, which may be out of reach. It also
+        stops the heartbeats of this owner. They must not renew the lease of a task on a
+        worker that the new owner cannot reach, because the new owner waits for that
+        lease to expire.
         """
         hosted = self._hosted.get(name)
         if hosted is None or hosted.authority.is_revoked:
@@ -181,6 +190,7 @@
         self.request_reconciliation()
 
     async def _read_partitions(self) -> _StoredPartitions | None:
+        """Return the rows of the partitions, or None if the table does not answer."""
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
@@ -251,7 +261,7 @@
         row: PartitionRow | None,
         partitions: _StoredPartitions,
     ) -> None:
-        """Raise the epoch, become the owner and recover the partition's state."""
+        """Make this member the owner in a new epoch and recover the partition."""
         epoch_row = await self._table.read(EPOCH_KEY)
         if isinstance(epoch_row, Err):
             return
@@ -366,7 +376,11 @@
         self._directory.set_owner(name, owner)
 
     async def _hand_over(self, hosted: HostedPartition) -> None:
-        """Stop deciding, put everything on record and free the partition."""
+        """Hand over a partition to its next owner.
+
+        The driver stops first. This member is removed as owner only if the journal has
+        recorded all events in time.
+        """
         name = hosted.driver.name
         await hosted.driver.drain_starts()
         await hosted.driver.close()
@@ -378,7 +392,7 @@
         self._directory.set_owner(name, None)
 
     async def _wait_for_journal(self) -> bool:
-        """Return whether everything handed in came on record in time."""
+        """Wait for the journal and return whether all events were recorded in time."""
         deadline_s = self._services.clock.now() + JOURNAL_FLUSH_TIMEOUT_S
         while not self._services.journal.is_idle:
             if self._services.clock.now() >= deadline_s:
@@ -388,7 +402,7 @@
 
 
 def _pools_by_partition(configuration: Configuration) -> dict[str, str]:
-    """Return the pool of every partition."""
+    """Return the pool of each partition by partition name."""
     return {
         partition_name(pool, index): pool
         for pool, config in configuration.pools.items()
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -1,4 +1,4 @@
-"""Drives one partition that this member owns."""
+"""Carries out the decisions of a partition that this member owns."""
 
 from __future__ import annotations
 
@@ -7,11 +7,7 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.decision.actions import (
-    Acknowledgement,
-    Actions,
-    StopOrder,
-)
+from fuchsiadale.decision.actions import Acknowledgement, Actions, StopOrder
 from fuchsiadale.decision.authority import Authority
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.events import JournalEvent
@@ -31,29 +27,44 @@
 from fuchsiadale.entry.worker_driver import WorkerDriver
 
 TICK_INTERVAL_S = 0.1
+# Time that a caller waits at most for the record of a job or of its end.
 RECORD_TIMEOUT_S = 2.0
 START_DRAIN_TIMEOUT_S = 3.0
 START_DRAIN_POLL_INTERVAL_S = 0.01
+# Interval between two removals of expired work and ends.
 EXPIRY_INTERVAL_S = 10.0
 
 
 class PartitionDriver:
-    """Carries out what a partition decides.
+    """Carries out the decisions of a partition.
+
+    Each step appends the events of new decisions to the journal, sends orders to the
+    workers and reports finished work. Starts of journalled work are sent once they are
+    recorded, or without a record while the journal fails if the work is idempotent.
 
     Parameters
     ----------
     name : str
         Name of the partition.
     epoch : int
-        The epoch in which it was taken.
+        Epoch in which this member owns the partition.
     authority : Authority
-        The right to act.
+        Authority to act for the partition.
     weights : OrderWeights
-        How teams are ordered.
-    tools : PartitionTools
-        Shared parts.
-    on_stale : callable
-        Called with the name when a newer owner is at work.
+        Weights of share and waiting time in the order of teams.
+    services : DriverServices
+        Services that all partition drivers share.
+    on_newer_epoch : callable
+        Called with the name of the partition when a worker reports a newer epoch.
+
+    Attributes
+    ----------
+    partition : Partition
+        The decision logic of the partition and its state.
+    reconciler : Reconciler
+        Applies the reports of workers to the partition.
+    events_since_snapshot : int
+        Number of events appended to the journal since the last snapshot.
     """
 
     def __init__(
@@ -78,7 +89,7 @@
         self._is_step_scheduled = False
         self._is_closed = False
         self._is_draining_starts = False
-        self._last_append_handle: AppendHandle | None = None
+        self._last_append: AppendHandle | None = None
 
     @property
     def name(self) -> str:
@@ -91,16 +102,16 @@
         workers: Iterable[WorkerInfo],
         witnesses: Iterable[str],
     ) -> None:
-        """Recover from recorded events and begin to drive.
+        """Recover the partition from recorded events and start to drive it.
 
         Parameters
         ----------
         events : iterable of JournalEvent
-            The snapshot's events, then the journal's.
+            The events of the snapshot and then those of the journal.
         workers : iterable of WorkerInfo
             The listed workers among the witnesses.
         witnesses : iterable of str
-            The workers in the partition's row.
+            The workers in the row of the partition.
         """
         now_s = self._services.clock.now()
         self.set_workers(workers, witnesses)
@@ -112,7 +123,7 @@
     def set_workers(
         self, workers: Iterable[WorkerInfo], witnesses: Iterable[str]
     ) -> None:
-        """Take the listed workers among the witnesses of the partition's row."""
+        """Replace the listed workers and the witnesses of the partition."""
         listed = {info.name: info for info in workers}
         self.reconciler.set_workers(listed.values(), witnesses)
         for name, info in listed.items():
@@ -126,20 +137,27 @@
         self.schedule_step()
 
     def schedule_step(self) -> None:
-        """Let the partition decide soon."""
+        """Schedule a step in the next iteration of the event loop."""
         if not self._is_step_scheduled and not self._is_closed:
             self._is_step_scheduled = True
             asyncio.get_running_loop().call_soon(self._step)
 
     async def submit(self, submission: Submission, member: str) -> Result[str, Refusal]:
-        """Accept a submission for a member whose caller waits.
+        """Accept a submission that a client sent to `member`.
 
-        A job is accepted only once it is on record.
+        A job is accepted only once it is recorded.
+
+        Parameters
+        ----------
+        submission : Submission
+            The submission.
+        member : str
+            The member that receives the result of a request.
 
         Returns
         -------
         Result
-            The id of the work accepted, or why it was refused.
+            The id of the accepted work, or why it was refused.
         """
         refusal = self._find_refusal(submission)
         if refusal is not None:
@@ -167,21 +185,25 @@
     async def cancel(
         self, work_id: str, reason: Refusal, member: str = ""
     ) -> Result[WorkView, Refusal]:
-        """End work; the view tells what is known of it now.
+        """Cancel work unless the client of another member still waits for it.
 
-        The end of a job is told only once it is on record, since a later owner would
-        run the job otherwise. A later owner starts a request only if it is submitted
-        again.
+        The end of a job is reported only once it is recorded, because otherwise a later
+        owner would run the job. A request needs no record, because a later owner starts
+        it only if it is submitted again.
 
         Parameters
         ----------
         work_id : str
-            The work.
+            Id of the work.
         reason : Refusal
-            What is told of tasks that did not run.
+            Refusal that is reported for tasks that did not run.
         member : str, optional
-            The member whose caller no longer waits; the work goes on if the caller
-            of another member waits for it.
+            The member whose client no longer waits for the work.
+
+        Returns
+        -------
+        Result
+            A view of the work after the cancellation, or why its state is not known.
         """
         work = self.partition.work_registry.works.get(work_id)
         if work is None:
@@ -192,12 +214,12 @@
             self._step()
         is_request = work.submission.kind is WorkKind.REQUEST
         if not is_request and not await self._wait_until_recorded():
-            message = f"the end of job {work_id} is under way, but not on record yet"
+            message = f"job {work_id} is being cancelled, but this is not recorded yet"
             return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
         return Ok(build_work_view(work))
 
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
-        """Return a view of work, once it is final or `hold_s` seconds have passed."""
+        """Return a view of work once it is final, or after `hold_s` seconds."""
         work = self.partition.work_registry.works.get(work_id)
         if work is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, f"there is no work {work_id}"))
@@ -214,7 +236,7 @@
         return build_partition_view(self.partition)
 
     def list_team_jobs(self, team: str) -> list[WorkView]:
-        """Return views of a team's jobs."""
+        """Return views of all jobs of a team."""
         return [
             build_work_view(work)
             for work in self.partition.work_registry.works.values()
@@ -223,7 +245,7 @@
         ]
 
     async def drain_starts(self) -> None:
-        """Place nothing more, and wait until every start sent was answered."""
+        """Stop placing tasks and wait a limited time for the answers to all starts."""
         self._is_draining_starts = True
         self.partition.pause()
         deadline_s = self._services.clock.now() + START_DRAIN_TIMEOUT_S
@@ -233,7 +255,7 @@
             await asyncio.sleep(START_DRAIN_POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stop deciding and talking, for good."""
+        """Stop deciding and end all sessions with workers permanently."""
         self._is_closed = True
         self.partition.authority.revoke()
         await self._services.supervisor.remove(self.name)
@@ -255,6 +277,7 @@
         self._supervisor.start(f"{info.name}/orders", driver.send_orders)
 
     def _find_refusal(self, submission: Submission) -> Refusal | None:
+        """Return why a submission cannot be accepted now, or None if it can."""
         if self._is_draining_starts or self.partition.authority.is_revoked:
             message = f"this host no longer owns partition {self.name}"
             return Refusal(ErrorKind.NOT_OWNER, message)
@@ -263,7 +286,7 @@
             submission.kind is not WorkKind.REQUEST or not submission.idempotent
         )
         if needs_record and not is_known and self._is_store_failing():
-            message = "the store is out of reach and this work needs a record"
+            message = "the store is unavailable, but this work must be recorded first"
             return Refusal(ErrorKind.STORE_UNAVAILABLE, message)
         return None
 
@@ -271,21 +294,21 @@
         return self._services.journal.is_failing or self._services.is_store_failing()
 
     async def _confirm_job_recorded(self, work: Work) -> Result[None, Refusal]:
-        """Wait until a job is on record, and take it back if it cannot be."""
+        """Wait until a job is recorded, or roll back its acceptance if possible."""
         if await self._wait_until_recorded():
             return Ok(None)
         work_id = work.submission.work_id
         if self._services.journal.withdraw(work_id):
             self.partition.roll_back_acceptance(work)
-            message = "the store is out of reach; the job was not accepted"
+            message = "the store is unavailable; the job was not accepted"
             return Err(Refusal(ErrorKind.STORE_UNAVAILABLE, message))
-        message = f"job {work_id} may be on record; ask for it later"
+        message = f"job {work_id} may have been recorded; check its state later"
         return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
 
     async def _wait_until_recorded(self) -> bool:
-        """Wait a while for the record of everything decided so far."""
+        """Wait for the record of all decisions and return whether it came in time."""
         recorded = asyncio.Event()
-        append_handle = self._last_append_handle or self._services.journal.append(
+        append_handle = self._last_append or self._services.journal.append(
             self.name, []
         )
         append_handle.call_when_recorded(recorded.set)
@@ -297,6 +320,7 @@
         return True
 
     async def _tick(self) -> None:
+        """Process timeouts and remove expired work periodically."""
         next_expiry_s = self._services.clock.now() + EXPIRY_INTERVAL_S
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -310,7 +334,7 @@
             self.schedule_step()
 
     def _step(self) -> None:
-        """Let the partition decide and carry it out."""
+        """Let the partition decide and carry out its decisions."""
         self._is_step_scheduled = False
         if self._is_closed:
             return
@@ -318,7 +342,7 @@
         self._services.counters.add_all(actions.counts)
         append_handle = self._services.journal.append(self.name, actions.events)
         self.events_since_snapshot += len(actions.events)
-        self._last_append_handle = append_handle
+        self._last_append = append_handle
         for order in actions.stops:
             self._send_stop(order)
         self._send_starts(actions, append_handle)
@@ -357,7 +381,7 @@
             self._send_start(attempt)
 
     def _send_unrecorded_starts(self) -> None:
-        """Send starts of idempotent work that the store cannot record now."""
+        """Send the starts of idempotent work whose events cannot be recorded now."""
         for attempt in self._unrecorded_starts:
             task = self.partition.work_registry.find_task_by_current_attempt(
                 attempt.attempt_id
@@ -382,6 +406,7 @@
                 driver.acknowledge(acknowledgement.attempt_id)
 
     def _announce_result(self, work: Work) -> None:
+        """Notify waiting calls and members that work is final."""
         work_id = work.submission.work_id
         for completion in self._completion_futures.pop(work_id, []):
             if not completion.done():
--- a/src/fuchsiadale/entry/recovery.py
+++ b/src/fuchsiadale/entry/recovery.py
@@ -1,4 +1,4 @@
-"""Reads and writes the recorded state of partitions."""
+"""Reads and writes the stored state of partitions, for the recovery by an owner."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class PartitionStateStore:
-    """The snapshots and journals of all partitions.
+    """Stores the state of partitions as snapshots and journal segments.
 
     Parameters
     ----------
     table : TableService
-        Holds the journals.
+        The table that holds the journals.
     objects : ObjectStore
-        Holds the snapshots.
+        The object store that holds the snapshots.
     """
 
     def __init__(self, table: TableService, objects: ObjectStore) -> None:
@@ -36,15 +36,31 @@
     async def read_events(
         self, partition: str, row: PartitionRow
     ) -> Result[list[JournalEvent], str]:
-        """Return the events that lead to a partition's state, in order."""
+        """Return the events from which the state of a partition is rebuilt.
+
+        Parameters
+        ----------
+        partition : str
+            Name of the partition.
+        row : PartitionRow
+            Row of the partition, which names its snapshot and journal segments.
+
+        Returns
+        -------
+        Result
+            The events of the snapshot and then of the journal, in order, or a message
+            that says what could not be read.
+        """
         events: list[JournalEvent] = []
         if row.snapshot:
             body = await self._objects.get(row.snapshot)
             if isinstance(body, Err):
-                return Err(f"snapshot {row.snapshot} cannot be read")
+                return Err(
+                    f"snapshot {row.snapshot} cannot be read from the object store"
+                )
             decoded = decode(body.ok_value, JournalRow)
             if isinstance(decoded, Err):
-                return Err(f"snapshot {row.snapshot}: {decoded.err_value}")
+                return Err(f"snapshot {row.snapshot} is invalid: {decoded.err_value}")
             events.extend(_events_of_partition(decoded.ok_value, partition))
         for segment in row.segments:
             found = await self._read_segment(partition, segment)
@@ -54,14 +70,27 @@
         return Ok(events)
 
     async def write_snapshot(self, name: str, row: JournalRow) -> Result[None, str]:
-        """Write a snapshot under a name that was never used."""
+        """Write a snapshot.
+
+        Parameters
+        ----------
+        name : str
+            Name of the object, which must never have been used before.
+        row : JournalRow
+            The events of the snapshot.
+
+        Returns
+        -------
+        Result
+            None, or a message that says what could not be written.
+        """
         written = await self._objects.put(name, encode(row))
         if isinstance(written, Err):
-            return Err(f"snapshot {name} cannot be written")
+            return Err(f"snapshot {name} cannot be written to the object store")
         return Ok(None)
 
     async def delete_snapshot(self, name: str) -> None:
-        """Remove a snapshot that no row refers to."""
+        """Delete a snapshot that no partition row refers to."""
         await self._objects.delete(name)
 
     async def _read_segment(
@@ -73,18 +102,19 @@
             journal_key(segment.member, segment.first),
         )
         if isinstance(rows, Err):
-            return Err(f"journal of {segment.member} cannot be read")
+            return Err(f"journal of member {segment.member} cannot be read")
         for row in rows.ok_value:
             if segment.last is not None and journal_row_number(row.key) > segment.last:
                 break
             decoded = decode(row.value, JournalRow)
             if isinstance(decoded, Err):
-                return Err(f"journal row {row.key}: {decoded.err_value}")
+                return Err(f"journal row {row.key} is invalid: {decoded.err_value}")
             events.extend(_events_of_partition(decoded.ok_value, partition))
         return Ok(events)
 
 
 def _events_of_partition(row: JournalRow, partition: str) -> list[JournalEvent]:
+    """Return the events of one partition in a journal row or a snapshot."""
     return [
         event
         for entry in row.entries
