--- a/src/fuchsiadale/entry/journal_cleaner.py
+++ b/src/fuchsiadale/entry/journal_cleaner.py
@@ -73,7 +73,7 @@
         """Remove the journal rows that no partition needs at present."""
         # Must precede the read of the partition rows: a partition that this member
         # acquires from now on has no events in rows below this number.
-        next_number = self._journal.next_number
+        next_own_row = self._journal.next_number
         first_needed_rows = await self._read_first_needed_rows()
         if first_needed_rows is None:
             return
@@ -82,7 +82,7 @@
             self._truncated_member = member
             self._first_kept_row = 1
         await self._truncate_own_journal(
-            min(next_number, first_needed_rows.get(member, next_number))
+            min(next_own_row, first_needed_rows.get(member, next_own_row))
         )
         if preferred_member(ORPHAN_REMOVER_KEY, self._list_members()) == member:
             await self._remove_orphaned_journals(set(first_needed_rows))
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -226,7 +226,7 @@
         pools = _pools_by_partition(configuration)
         members = self._membership.members
         preferred_owners = assign_owners(pools, members)
-        member = self._identity.member
+        this_member = self._identity.member
         for name in set(self._hosted) - set(pools):
             await self._hand_over(self._hosted[name])
         for name, pool in pools.items():
@@ -235,7 +235,7 @@
                 continue
             row = partitions.rows.get(name)
             is_owned = row is not None and row.owner in members
-            if not is_owned and preferred_owners.get(name) == member:
+            if not is_owned and preferred_owners.get(name) == this_member:
                 config = configuration.pools[pool]
                 await self._acquire(name, pool, config, row, partitions)
 
@@ -366,7 +366,7 @@
             self._services.counters,
         )
         self._hosted[name] = hosted
-        driver.start(events.ok_value, hosted.listed_workers, row.witnesses)
+        driver.recover_and_start(events.ok_value, hosted.listed_workers, row.witnesses)
         self._on_acquired(driver)
         log_message(
             "partition_taken", partition=name, epoch=row.epoch, taken_over=taken_over
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -96,7 +96,7 @@
         """Name of the partition."""
         return self.partition.name
 
-    def start(
+    def recover_and_start(
         self,
         events: Iterable[JournalEvent],
         workers: Iterable[WorkerInfo],
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Lost, late and crossed messages between the parts, on a virtual clock."""
+"""Requests and jobs under lost messages and failing workers, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
             links = cluster.links["entry-0"]
-            waiting = asyncio.ensure_future(
+            pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 5.0, False))
             )
             links.lost_worker_answers.update(cluster.workers)
             await asyncio.sleep(0.1)
             links.lost_worker_answers.clear()
-            view = (await waiting).unwrap()
+            view = (await pending_request).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
             assert len(cluster.runs_of(view.work_id + "/")) == 1
 
     run_virtually(session())
 
 
-def test_truncated_answer_is_asked_for_again() -> None:
+def test_truncated_answer_is_fetched_again() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             for worker in cluster.workers.values():
@@ -50,7 +50,7 @@
     run_virtually(session())
 
 
-def test_answer_too_large_to_record_survives_the_owner() -> None:
+def test_answer_too_large_to_record_is_delivered_despite_owner_failure() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
@@ -61,10 +61,10 @@
                 make_submission(1, idempotent=False, key="large"),
                 program=Program("sleep", payload),
             )
-            waiting = asyncio.ensure_future(router.run_request(request))
+            pending_request = asyncio.ensure_future(router.run_request(request))
             await asyncio.sleep(1.0)
             await cluster.kill(owner)
-            view = (await waiting).unwrap()
+            view = (await pending_request).unwrap()
             assert len(view.tasks[0].answer) == 100_000
             await cluster.until(lambda: cluster.owner() is not None)
             await asyncio.sleep(1.0)
@@ -80,11 +80,11 @@
     run_virtually(session())
 
 
-def test_many_callers_each_get_their_own_answer() -> None:
+def test_concurrent_requests_each_get_their_own_answer() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             nodes = list(cluster.nodes.values())
-            waiting = [
+            pending_requests = [
                 asyncio.ensure_future(
                     nodes[number % 3].router.run_request(
                         make_sleep_submission(
@@ -94,14 +94,14 @@
                 )
                 for number in range(90)
             ]
-            for number, each in enumerate(waiting):
-                view = (await each).unwrap()
+            for number, request_task in enumerate(pending_requests):
+                view = (await request_task).unwrap()
                 assert view.tasks[0].answer == f"answer {number}".encode()
 
     run_virtually(session())
 
 
-def test_deadline_before_any_start_is_told_as_not_run() -> None:
+def test_deadline_before_any_start_is_reported_as_not_run() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -126,7 +126,7 @@
     run_virtually(session())
 
 
-def test_deadline_after_the_start_is_told_as_unknown() -> None:
+def test_deadline_after_the_start_is_reported_as_unknown_outcome() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -138,13 +138,13 @@
 
 
 @pytest.mark.parametrize("kills_owner", [False, True])
-def test_one_key_sent_to_every_entry_runs_once(kills_owner: bool) -> None:
+def test_requests_with_one_key_at_several_entries_run_once(kills_owner: bool) -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             owner = cluster.owner()
             assert owner is not None
             hosts = [host for host in cluster.nodes if host != owner] * 3
-            waiting = []
+            pending_requests = []
             for number, host in enumerate(hosts):
                 submission = evolve(
                     make_sleep_submission(7, 2.0, False),
@@ -152,20 +152,23 @@
                     key="crest-7",
                 )
                 node = cluster.nodes[host]
-                waiting.append(
+                pending_requests.append(
                     asyncio.ensure_future(node.router.run_request(submission))
                 )
             await asyncio.sleep(0.3)
             if kills_owner:
                 await cluster.kill(owner)
-            answers = [(await each).unwrap().tasks[0].answer for each in waiting]
+            answers = [
+                (await request_task).unwrap().tasks[0].answer
+                for request_task in pending_requests
+            ]
             assert answers == [b"answer 7"] * len(hosts)
             assert len(cluster.runs_of("general.0.same")) == 1
 
     run_virtually(session())
 
 
-def test_repeat_of_an_ended_request_is_answered_at_once() -> None:
+def test_repeat_of_an_ended_request_is_answered_without_delay() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             for number, node in enumerate(cluster.nodes.values()):
@@ -182,7 +185,7 @@
     run_virtually(session())
 
 
-def test_one_key_for_other_work_is_refused() -> None:
+def test_reuse_of_a_key_for_other_work_is_refused() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             router = cluster.nodes["entry-0"].router
@@ -195,7 +198,9 @@
     run_virtually(session())
 
 
-def test_leaving_worker_gets_nothing_new_though_the_list_lags() -> None:
+def test_worker_that_reports_leaving_gets_no_tasks_while_the_host_list_is_stale() -> (
+    None
+):
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -203,14 +208,14 @@
             leaving = cluster.workers["worker-1"]
             leaving.faults.leaving = True
             await asyncio.sleep(3.0)
-            waiting = [
+            pending_requests = [
                 asyncio.ensure_future(
                     entry.router.run_request(make_sleep_submission(number, 0.1, True))
                 )
                 for number in range(24)
             ]
-            for each in waiting:
-                (await each).unwrap()
+            for request_task in pending_requests:
+                (await request_task).unwrap()
             assert all(seen.worker != "worker-1" for seen in cluster.observations)
             leaving.faults.leaving = False
             await asyncio.sleep(3.0)
@@ -224,7 +229,7 @@
     run_virtually(session())
 
 
-def test_worker_that_left_the_list_comes_back_at_another_address() -> None:
+def test_removed_worker_is_used_again_after_it_returns_at_another_address() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -242,7 +247,7 @@
     run_virtually(session())
 
 
-def test_job_moves_away_from_a_worker_that_the_list_calls_leaving() -> None:
+def test_service_tasks_move_off_a_worker_that_is_listed_as_leaving() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -262,7 +267,7 @@
     run_virtually(session())
 
 
-def test_worker_that_fails_everything_is_quarantined() -> None:
+def test_worker_that_fails_every_task_is_quarantined() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -279,7 +284,7 @@
     run_virtually(session())
 
 
-def test_poison_work_is_stopped_and_told_and_no_worker_is_blamed() -> None:
+def test_poison_work_ends_with_an_error_and_no_worker_is_quarantined() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -296,18 +301,18 @@
     run_virtually(session())
 
 
-def test_worker_whose_tasks_take_more_than_declared_gets_no_more() -> None:
+def test_worker_with_a_task_above_its_declared_usage_gets_no_tasks() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
             payload = json.dumps({"run_s": 20.0, "takes": 8.0}).encode()
-            hog = evolve(
+            oversized_job = evolve(
                 make_submission(1, WorkKind.BATCH), program=Program("sleep", payload)
             )
-            (await entry.router.submit_job(hog)).unwrap()
+            (await entry.router.submit_job(oversized_job)).unwrap()
             await asyncio.sleep(3.0)
-            (full,) = [w for w in cluster.workers.values() if w.running]
-            waiting = [
+            (overused_worker,) = [w for w in cluster.workers.values() if w.running]
+            pending_requests = [
                 asyncio.ensure_future(
                     entry.router.run_request(
                         make_sleep_submission(100 + number, 1.0, True)
@@ -316,9 +321,9 @@
                 for number in range(24)
             ]
             await asyncio.sleep(0.5)
-            assert len(full.running) == 1
+            assert len(overused_worker.running) == 1
             assert sum(len(w.running) for w in cluster.workers.values()) == 17
-            await asyncio.gather(*waiting)
+            await asyncio.gather(*pending_requests)
             await asyncio.sleep(20.0)
             again = [
                 entry.router.run_request(make_sleep_submission(200 + number, 1.0, True))
@@ -326,14 +331,15 @@
             ]
             await asyncio.gather(*again)
             assert any(
-                seen.worker == full.info.name and "general.0.2" in seen.attempt_id
+                seen.worker == overused_worker.info.name
+                and "general.0.2" in seen.attempt_id
                 for seen in cluster.observations
             )
 
     run_virtually(session())
 
 
-def test_work_that_can_never_run_is_refused_at_the_door() -> None:
+def test_work_that_can_never_run_is_refused_on_submission() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             router = cluster.nodes["entry-0"].router
@@ -349,7 +355,7 @@
     run_virtually(session())
 
 
-def test_wave_of_cancellations_leaves_nothing_running() -> None:
+def test_many_cancellations_at_once_leave_no_task_running() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -374,18 +380,18 @@
                 await entry.router.run_request(make_sleep_submission(99, 0.1, True))
             ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            ledger = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
-            for worker in ledger.partition.ledger.workers.values():
+            driver = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
+            for worker in driver.partition.ledger.workers.values():
                 assert worker.unallocated == worker.info.capacity
 
     run_virtually(session())
 
 
-def test_rebooted_worker_ends_its_tasks_and_unknown_is_told() -> None:
+def test_reboot_of_a_worker_reports_unknown_outcome_unless_idempotent() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
-            waiting = asyncio.ensure_future(
+            pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 20.0, False))
             )
             again = asyncio.ensure_future(
@@ -393,7 +399,7 @@
             )
             await asyncio.sleep(0.2)
             cluster.workers["worker-0"].reboot()
-            view = (await waiting).unwrap()
+            view = (await pending_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
             assert (await again).unwrap().tasks[0].state is TaskState.SUCCEEDED
