--- a/src/fuchsiadale/entry/directory.py
+++ b/src/fuchsiadale/entry/directory.py
@@ -103,4 +103,4 @@
 
 
 def _do_nothing() -> None:
-    """Ignore a change, until a callback is set."""
+    """Do nothing, as the default callback for changes."""
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -30,11 +30,12 @@
     transact_with_readback,
 )
 
-# Events since the last snapshot from which a new snapshot is due.
+# A new snapshot is due after this many events since the last one.
 SNAPSHOT_EVENT_THRESHOLD = 5000
-# Rows of the member's journal since the last segment began from which one is due.
+# It is also due after this many rows of the member's journal since the partition's
+# current segment began.
 SNAPSHOT_ROW_THRESHOLD = 2000
-# Number of journal segments above which one is due.
+# It is also due if the partition has more journal segments.
 MAX_SEGMENTS = 4
 
 
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -43,7 +43,7 @@
 
 @define(eq=False)
 class AppendHandle:
-    """Tells whether events that were appended to the journal are recorded.
+    """Tracks whether events that were appended to the journal are recorded.
 
     Attributes
     ----------
@@ -73,6 +73,20 @@
 
 @define(eq=False)
 class _Batch:
+    """Events that are written to the journal in one row.
+
+    Attributes
+    ----------
+    entries : list of JournalEntry
+        The events by partition.
+    append_handle : AppendHandle
+        Tracks whether the events are recorded.
+    is_in_flight : bool
+        Whether a write of the batch is in progress.
+    may_be_recorded : bool
+        Whether the outcome of a write is unknown.
+    """
+
     entries: list[JournalEntry] = field(factory=list)
     append_handle: AppendHandle = field(factory=AppendHandle)
     is_in_flight: bool = False
@@ -157,12 +171,12 @@
         return self._open_batch.append_handle
 
     def withdraw(self, work_id: str) -> bool:
-        """Remove the events of a work item that are not recorded yet.
+        """Remove the events of one work from the batches that are not recorded yet.
 
         Parameters
         ----------
         work_id : str
-            Id of the work item.
+            Id of the work.
 
         Returns
         -------
@@ -216,14 +230,15 @@
                 await asyncio.sleep(COMMIT_RETRY_DELAY_S)
 
     async def _write_batch(self, batch: _Batch) -> bool:
+        """Try once to write a batch and return whether it is certainly recorded."""
         member = self._identity.member
-        alive_version = self._identity.liveness_version
+        liveness_version = self._identity.liveness_version
         key = journal_key(member, self._next_number)
         transaction = Transaction(
             writes=(Write(key, encode(JournalRow(batch.entries))),),
             conditions=(
                 Condition(key, ABSENT_VERSION),
-                Condition(liveness_key(member), alive_version),
+                Condition(liveness_key(member), liveness_version),
             ),
             nonce=f"{member}/{self._next_number}",
         )
@@ -265,7 +280,7 @@
 
 
 def _event_work_id(event: JournalEvent) -> str:
-    """Return the id of the work item that an event belongs to."""
+    """Return the id of the work that an event belongs to."""
     match event:
         case AcceptedEvent(submission=submission):
             return submission.work_id
@@ -275,7 +290,7 @@
 
 
 def _match_events(batch: _Batch, work_id: str) -> list[bool]:
-    """Return for each event of a batch whether it belongs to the work item."""
+    """Return for each event of a batch whether it belongs to the given work."""
     return [
         _event_work_id(event) == work_id
         for entry in batch.entries
--- a/src/fuchsiadale/entry/journal_cleaner.py
+++ b/src/fuchsiadale/entry/journal_cleaner.py
@@ -31,7 +31,8 @@
 class JournalCleaner:
     """Truncates the journal of this member and removes the journals of former members.
 
-    Only one member, which all choose alike, removes the journals of former members.
+    Each member truncates its own journal. All members choose the same one of them to
+    remove the journals of former members.
 
     Parameters
     ----------
@@ -93,7 +94,7 @@
         Returns
         -------
         dict of str to int or None
-            The row numbers by member name; None if a partition row cannot be read.
+            The row numbers by member name; None if the partition rows cannot be read.
         """
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -40,7 +40,8 @@
 )
 
 RECONCILE_INTERVAL_S = 1.0
-# Time for which another owner must be preferred before a partition is handed over.
+# How long another owner must be preferred before a partition is handed over, unless
+# this member drains.
 HANDOVER_DELAY_S = 3.0
 JOURNAL_FLUSH_TIMEOUT_S = 5.0
 JOURNAL_FLUSH_POLL_INTERVAL_S = 0.01
@@ -55,7 +56,7 @@
 
 
 class OwnershipDriver:
-    """Acquires and hands over partitions until the assignment and the table agree.
+    """Acquires and hands over partitions as the assignment to members requires.
 
     Parameters
     ----------
@@ -190,7 +191,7 @@
         self.request_reconciliation()
 
     async def _read_partitions(self) -> _StoredPartitions | None:
-        """Return the rows of the partitions, or None if the table does not answer."""
+        """Return all decodable partition rows, or None if the table does not answer."""
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -198,9 +198,7 @@
     run_virtually(session())
 
 
-def test_worker_that_reports_leaving_gets_no_tasks_while_the_host_list_is_stale() -> (
-    None
-):
+def test_worker_that_reports_leaving_gets_no_tasks_despite_a_stale_list() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
