--- a/src/fuchsiadale/entry/daemon.py
+++ b/src/fuchsiadale/entry/daemon.py
@@ -44,7 +44,7 @@
         self._app_runner: web.AppRunner | None = None
 
     @property
-    def callers_port(self) -> int:
+    def clients_port(self) -> int:
         """Port on which the daemon listens for clients."""
         if self._app_runner is None or not self._app_runner.addresses:
             return self.settings.callers.port
--- a/src/fuchsiadale/entry/directory.py
+++ b/src/fuchsiadale/entry/directory.py
@@ -1,4 +1,4 @@
-"""The members and the owners of partitions, as last read from the table."""
+"""The members and the owners of partitions, as last read or changed here."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     peer_address : str
         Address at which the member listens for its peers.
     epoch : int
-        Epoch of the ownership.
+        Epoch in which the member acquired the partition.
     """
 
     member: str
@@ -30,7 +30,7 @@
 
 
 class Directory:
-    """Maps partitions to their owners and notifies waiting tasks of changes.
+    """Holds the members and owners and wakes coroutines that wait for a new owner.
 
     Attributes
     ----------
@@ -80,7 +80,17 @@
             self._signal_change()
 
     def set_owner(self, partition: str, owner: Owner | None) -> None:
-        """Set the owner of one partition; None removes its owner."""
+        """Set the owner of a partition that this process acquired or gave up.
+
+        The change applies without waiting for the next read of the table.
+
+        Parameters
+        ----------
+        partition : str
+            Name of the partition.
+        owner : Owner or None
+            Its owner; None removes the owner.
+        """
         if owner is None:
             self._owners.pop(partition, None)
         else:
--- a/src/fuchsiadale/entry/driver_services.py
+++ b/src/fuchsiadale/entry/driver_services.py
@@ -35,8 +35,9 @@
     send_result : callable
         Sends the result of finished work to a member. Takes the name of the member, the
         work, and a callable that is called once the member has received the result.
-    is_store_failing : callable
-        Returns whether the last call to the table service failed.
+    is_table_failing : callable
+        Returns whether the last call to the table failed for a reason other than a
+        conflict.
     """
 
     clock: Clock
@@ -45,4 +46,4 @@
     counters: Counters
     supervisor: Supervisor
     send_result: ResultSender
-    is_store_failing: Callable[[], bool]
+    is_table_failing: Callable[[], bool]
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -30,12 +30,13 @@
     transact_with_readback,
 )
 
-# A new snapshot is due after this many events since the last one.
+# A new snapshot is due after this many events since the last attempt to write one.
 SNAPSHOT_EVENT_THRESHOLD = 5000
-# It is also due after this many rows of the member's journal since the partition's
-# current segment began.
+# A new snapshot is due once the member's journal has grown by this many rows since
+# the partition's current segment began.
 SNAPSHOT_ROW_THRESHOLD = 2000
-# It is also due if the partition has more journal segments.
+# A new snapshot is due if the partition has more journal segments than this; each new
+# owner adds one.
 MAX_SEGMENTS = 4
 
 
@@ -69,6 +70,14 @@
 
     Attributes
     ----------
+    pool : str
+        Name of the pool that the partition is a slice of.
+    driver : PartitionDriver
+        Driver of the partition.
+    authority : Authority
+        Authority to act for the partition.
+    row : PartitionRow
+        Row of the partition as this member last wrote it.
     not_preferred_since_s : float or None
         Time since which the assignment prefers another owner, on the local clock in
         seconds; None if it does not.
@@ -103,7 +112,7 @@
 
     @property
     def listed_workers(self) -> list[WorkerInfo]:
-        """The workers on the host list that are witnesses of the partition."""
+        """The workers in the list of workers that are witnesses of the partition."""
         workers_by_name = self._worker_list.workers
         return [
             workers_by_name[name]
@@ -118,6 +127,8 @@
     async def release(self) -> bool:
         """Remove this member as owner from the row of the partition.
 
+        This ends its journal segment at the last recorded row.
+
         Returns
         -------
         bool
@@ -131,7 +142,8 @@
         """Update the witnesses in the row of the partition.
 
         The witnesses are the listed workers of the partition and all workers that still
-        have attempts of it.
+        have attempts of it. The row stays as it is if the pool is not configured, the
+        witnesses are unchanged or the owner may not act.
 
         Parameters
         ----------
@@ -158,10 +170,10 @@
             self.update_driver_workers()
 
     async def write_snapshot_if_due(self) -> None:
-        """Write a snapshot that replaces the journal segments once they are long.
+        """Write a snapshot if there are many events, an old segment or many segments.
 
-        This includes a partition without new events, because its old segment prevents
-        the truncation of the whole journal of the member.
+        A partition without new events needs one too, because the member's journal
+        cannot be truncated beyond the start of the partition's segment.
         """
         first = self._journal.next_number
         segments = self.row.segments
@@ -172,7 +184,10 @@
             await self._write_snapshot(first)
 
     async def _write_snapshot(self, first: int) -> None:
-        """Write a snapshot that replaces all journal rows before row `first`."""
+        """Write a snapshot that replaces all journal segments of the partition.
+
+        The new segment begins at row `first` of this member's journal.
+        """
         entry = JournalEntry(
             self.driver.name,
             list(self.driver.partition.work_registry.snapshot_events()),
@@ -190,7 +205,13 @@
                 await self._state_store.delete_snapshot(previous_snapshot)
 
     async def _write_row(self, row: PartitionRow) -> bool:
-        """Write the row unless it has changed, and return whether it is written."""
+        """Write the row if the stored row still has the version last seen.
+
+        Returns
+        -------
+        bool
+            Whether the row is certainly written.
+        """
         key = partition_key(self.driver.name)
         transaction = Transaction(
             writes=(Write(key, encode(row)),),
--- a/src/fuchsiadale/entry/identity.py
+++ b/src/fuchsiadale/entry/identity.py
@@ -28,7 +28,8 @@
     member : str
         Name of the current member.
     liveness_version : int
-        Version of the liveness row of the member in the table; 0 until it has joined.
+        Version of the liveness row of the member in the table; 0 before it has joined
+        and after it has left.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
         self.assign_new_member()
 
     def assign_new_member(self) -> None:
-        """Take the name of a new member that has not joined yet."""
+        """Generate a new member name and record that it has not joined yet."""
         self.member = f"{self._host}.{self._ids.new()[:8]}"
         self.liveness_version = 0
 
@@ -53,7 +54,7 @@
         Parameters
         ----------
         renewals : int
-            Number of renewals of the row so far.
+            Number of renewals that this process has attempted so far.
         draining : bool
             Whether the process is about to stop.
 
--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -1,4 +1,4 @@
-"""The journal of a member, which records the events of its partitions in groups."""
+"""The journal of a member, which records events of its partitions by group commit."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
     Attributes
     ----------
-    recorded : bool
+    is_recorded : bool
         Whether the events are recorded.
     callbacks : list of callable
         Called once the events are recorded.
@@ -108,7 +108,7 @@
         Identity of the member that writes the journal.
     counters : Counters
         Counts recorded rows and retries.
-    on_lost : callable
+    on_declared_dead : callable
         Called when a write shows that the member was declared dead.
     """
 
@@ -157,7 +157,8 @@
         Returns
         -------
         AppendHandle
-            Reports when these events and all those appended before are recorded.
+            Reports when these events and all those appended before are recorded. The
+            callbacks of events that are discarded for a new member are not called.
         """
         if events:
             self._open_batch.entries.append(JournalEntry(partition, events))
@@ -171,12 +172,12 @@
         return self._open_batch.append_handle
 
     def withdraw(self, work_id: str) -> bool:
-        """Remove the events of one work from the batches that are not recorded yet.
+        """Remove the events of a job or request that are not recorded yet.
 
         Parameters
         ----------
         work_id : str
-            Id of the work.
+            Id of the job or request.
 
         Returns
         -------
@@ -187,7 +188,7 @@
         for batch in (self._flushing_batch, self._open_batch):
             if batch is None:
                 continue
-            if not any(_match_events(batch, work_id)):
+            if not any(_are_events_of_work(batch, work_id)):
                 continue
             if batch.is_in_flight or batch.may_be_recorded:
                 return False
@@ -198,7 +199,11 @@
         return True
 
     def reset_for_new_member(self) -> None:
-        """Start the journal of a new member and discard events not recorded yet."""
+        """Start the journal of a new member and discard events not recorded yet.
+
+        The callbacks of the discarded events are not called, unless a write in progress
+        still succeeds.
+        """
         self._next_number = 1
         self._open_batch = _Batch()
         self._flushing_batch = None
@@ -260,7 +265,8 @@
         """Find out why the conditions of a write did not hold.
 
         Either an earlier attempt with the same nonce has written the row, or this
-        member was declared dead.
+        member was declared dead. In the latter case, the journal is reset, which
+        discards all unrecorded events, and the callback `on_declared_dead` is called.
 
         Returns
         -------
@@ -289,7 +295,7 @@
     return event.work_id
 
 
-def _match_events(batch: _Batch, work_id: str) -> list[bool]:
+def _are_events_of_work(batch: _Batch, work_id: str) -> list[bool]:
     """Return for each event of a batch whether it belongs to the given work."""
     return [
         _event_work_id(event) == work_id
--- a/src/fuchsiadale/entry/journal_cleaner.py
+++ b/src/fuchsiadale/entry/journal_cleaner.py
@@ -25,7 +25,7 @@
 CLEANING_INTERVAL_S = 20.0
 ROWS_PER_TRANSACTION = 100
 # Hashed to choose the one member that removes the journals of former members.
-ORPHAN_REMOVER_KEY = "janitor"
+FORMER_JOURNALS_REMOVER_KEY = "janitor"
 
 
 class JournalCleaner:
@@ -61,7 +61,8 @@
         self._journal = journal
         self._list_members = list_members
         self._counters = counters
-        self._truncated_member = ""
+        # Member whose journal `_first_kept_row` refers to.
+        self._first_kept_row_member = ""
         self._first_kept_row = 1
 
     async def run(self) -> None:
@@ -79,22 +80,26 @@
         if first_needed_rows is None:
             return
         member = self._identity.member
-        if member != self._truncated_member:
-            self._truncated_member = member
+        if member != self._first_kept_row_member:
+            self._first_kept_row_member = member
             self._first_kept_row = 1
         await self._truncate_own_journal(
             min(next_own_row, first_needed_rows.get(member, next_own_row))
         )
-        if preferred_member(ORPHAN_REMOVER_KEY, self._list_members()) == member:
-            await self._remove_orphaned_journals(set(first_needed_rows))
+        if (
+            preferred_member(FORMER_JOURNALS_REMOVER_KEY, self._list_members())
+            == member
+        ):
+            await self._remove_former_journals(set(first_needed_rows))
 
     async def _read_first_needed_rows(self) -> dict[str, int] | None:
-        """Return the number of the first row of each journal that a partition needs.
+        """Return, for each journal that a partition needs, its first needed row.
 
         Returns
         -------
         dict of str to int or None
-            The row numbers by member name; None if the partition rows cannot be read.
+            The row numbers by member name; None if the partition rows cannot be read
+            or one of them is invalid.
         """
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
@@ -109,17 +114,21 @@
                 first_needed_rows[segment.member] = min(first_row, segment.first)
         return first_needed_rows
 
-    async def _truncate_own_journal(self, first_kept_row: int) -> None:
-        """Delete the rows of this member's journal before `first_kept_row`."""
+    async def _truncate_own_journal(self, new_first_kept_row: int) -> None:
+        """Delete the rows before `new_first_kept_row` that are not deleted yet."""
         keys = [
-            journal_key(self._truncated_member, number)
-            for number in range(self._first_kept_row, first_kept_row)
+            journal_key(self._first_kept_row_member, number)
+            for number in range(self._first_kept_row, new_first_kept_row)
         ]
         if await self._delete_rows(keys):
-            self._first_kept_row = max(self._first_kept_row, first_kept_row)
+            self._first_kept_row = max(self._first_kept_row, new_first_kept_row)
 
-    async def _remove_orphaned_journals(self, needed_members: set[str]) -> None:
-        """Remove the journals of former members that no partition needs."""
+    async def _remove_former_journals(self, needed_members: set[str]) -> None:
+        """Remove the journals of former members that no partition needs.
+
+        Each member that ever joined has a marker row, which is deleted after its
+        journal rows.
+        """
         markers = await self._table.scan(JOURNAL_MARKER_PREFIX)
         if isinstance(markers, Err):
             return
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -49,10 +49,11 @@
     clock : Clock
         Clock of the process.
     counters : Counters
-        Counts renewal failures and members declared dead.
+        Counts failed joins and renewals, losses of membership, and members that this
+        one declared dead.
     on_renewed : callable
-        Called after each successful renewal with the time at which it was sent.
-    on_lost : callable
+        Called after each successful join or renewal with the time at which it was sent.
+    on_declared_dead : callable
         Awaited when this member was declared dead, before the process joins as a new
         member.
 
@@ -89,7 +90,10 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether this member has written its rows to the table."""
+        """Whether this process has joined and has not left.
+
+        A member that was declared dead counts as joined until it notices.
+        """
         return self._identity.liveness_version > 0
 
     async def run(self) -> None:
@@ -158,7 +162,11 @@
         await self.join()
 
     async def read_members(self) -> bool:
-        """Read the rows of all members and return whether the table answered."""
+        """Read the rows of all members and return whether the table answered.
+
+        If it did not answer, all observed leases restart, because renewals may have
+        been missed.
+        """
         rows = await self._table.scan(MEMBER_PREFIX)
         if isinstance(rows, Err):
             self._lease_tracker.restart_leases()
--- a/src/fuchsiadale/entry/node.py
+++ b/src/fuchsiadale/entry/node.py
@@ -70,7 +70,7 @@
     ----------
     settings : Settings
         The settings of the process.
-    platform : Platform
+    platform : PlatformClients
         Clients of the platform services.
     backend_connector : BackendConnector
         Creates clients of backend servers.
@@ -81,6 +81,10 @@
 
     Attributes
     ----------
+    settings : Settings
+        The settings of the process.
+    ids : IdSource
+        Generates identifiers.
     counters : MemoryCounters
         Counters of the events in this process.
     peer_service : PeerService
@@ -107,7 +111,7 @@
         self._peer_connector = peer_connector
         self._clock = LoopClock()
         self._supervisor = Supervisor("entry")
-        self._is_ready_to_serve = True
+        self._accepts_clients = True
         self._refuses_submissions = False
         self._build()
 
@@ -145,7 +149,7 @@
     def is_ready(self) -> bool:
         """Whether the load balancer should send clients to this process."""
         return (
-            self._is_ready_to_serve
+            self._accepts_clients
             and self._config.freshness.is_fresh()
             and self._membership.has_joined
             and bool(self._directory.owners)
@@ -170,12 +174,13 @@
         """Prepare a stop of the process without interrupting any request.
 
         The process first reports that it is not ready, so that the load balancer sends
-        clients elsewhere. After the notice period it refuses new work, hands over every
-        partition, and waits until the requests of its own clients have ended and the
-        other members have received the results that they wait for.
+        clients elsewhere, and tells the members that it drains. After the notice period
+        it refuses new work, hands over every partition, and waits until the requests of
+        its own clients have ended and the other members have received the results that
+        they wait for. At the end it leaves the cluster.
         """
         log_message("drain_started", member=self._identity.member)
-        self._is_ready_to_serve = False
+        self._accepts_clients = False
         self._membership.is_draining = True
         if self._membership.has_joined:
             await self._membership.renew()
@@ -258,7 +263,7 @@
             counters=self.counters,
             supervisor=self._supervisor.add("partitions"),
             send_result=self._send_result,
-            is_store_failing=lambda: table.is_failing,
+            is_table_failing=lambda: table.is_failing,
         )
         self._membership = MembershipDriver(
             table,
--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -122,7 +122,7 @@
         self._reconcile_requested.set()
 
     def update_workers(self) -> None:
-        """Pass the changed host list to all partitions."""
+        """Pass the changed list of workers to all partitions."""
         for hosted in self._hosted.values():
             hosted.update_driver_workers()
         self.request_reconciliation()
@@ -177,7 +177,7 @@
     def drop_superseded(self, name: str) -> None:
         """Stop driving a partition after a worker reported a newer epoch.
 
-        This does not depend on the partition row, which may be out of reach. It also
+        This does not read the partition row, as the table may be unavailable. It also
         stops the heartbeats of this owner. They must not renew the lease of a task on a
         worker that the new owner cannot reach, because the new owner waits for that
         lease to expire.
@@ -191,7 +191,7 @@
         self.request_reconciliation()
 
     async def _read_partitions(self) -> _StoredPartitions | None:
-        """Return all decodable partition rows, or None if the table does not answer."""
+        """Return the partition rows that can be decoded, or None if the scan fails."""
         rows = await self._table.scan(PARTITION_PREFIX)
         if isinstance(rows, Err):
             return None
@@ -262,7 +262,10 @@
         row: PartitionRow | None,
         partitions: _StoredPartitions,
     ) -> None:
-        """Make this member the owner in a new epoch and recover the partition."""
+        """Make this member the owner in a new epoch and recover the partition.
+
+        All partitions take their epochs from one counter.
+        """
         epoch_row = await self._table.read(EPOCH_KEY)
         if isinstance(epoch_row, Err):
             return
@@ -273,6 +276,7 @@
             if isinstance(decoded, Err):
                 return
             last_epoch = decoded.ok_value.epoch
+        # An empty owner means that the former owner handed the partition over.
         taken_over = row is not None and row.owner != ""
         acquired_row = self._build_acquired_row(name, pool, config, row, last_epoch + 1)
         transaction = Transaction(
@@ -334,6 +338,7 @@
         row_version: int,
         taken_over: bool,
     ) -> None:
+        """Recover the partition, retrying until it is readable, and start its driver."""
         authority = Authority(
             self._services.clock, row.witnesses, taken_over, config.fencing
         )
@@ -379,8 +384,9 @@
     async def _hand_over(self, hosted: HostedPartition) -> None:
         """Hand over a partition to its next owner.
 
-        The driver stops first. This member is removed as owner only if the journal has
-        recorded all events in time.
+        The driver stops first. The row is released only if the journal has recorded all
+        events in time. Otherwise it still names this member, and no member, this one
+        included, acquires the partition until this one has left or was declared dead.
         """
         name = hosted.driver.name
         await hosted.driver.drain_starts()
--- a/src/fuchsiadale/entry/partition_driver.py
+++ b/src/fuchsiadale/entry/partition_driver.py
@@ -27,11 +27,11 @@
 from fuchsiadale.entry.worker_driver import WorkerDriver
 
 TICK_INTERVAL_S = 0.1
-# Time that a caller waits at most for the record of a job or of its end.
+# Maximum time that a call waits until a job or its cancellation is recorded.
 RECORD_TIMEOUT_S = 2.0
 START_DRAIN_TIMEOUT_S = 3.0
 START_DRAIN_POLL_INTERVAL_S = 0.01
-# Interval between two removals of expired work and ends.
+# Interval between removals of expired work and of expired ends of orphan attempts.
 EXPIRY_INTERVAL_S = 10.0
 
 
@@ -39,8 +39,9 @@
     """Carries out the decisions of a partition.
 
     Each step appends the events of new decisions to the journal, sends orders to the
-    workers and reports finished work. Starts of journalled work are sent once they are
-    recorded, or without a record while the journal fails if the work is idempotent.
+    workers and reports finished work. Starts of work that the journal must hold are
+    sent once they are recorded. While the journal fails, starts of idempotent work are
+    sent without this.
 
     Parameters
     ----------
@@ -64,7 +65,8 @@
     reconciler : Reconciler
         Applies the reports of workers to the partition.
     events_since_snapshot : int
-        Number of events appended to the journal since the last snapshot.
+        Number of events appended to the journal since the last attempt to write a
+        snapshot.
     """
 
     def __init__(
@@ -203,7 +205,7 @@
         Returns
         -------
         Result
-            A view of the work after the cancellation, or why its state is not known.
+            A view of the work, cancelled or not, or why its state is not known.
         """
         work = self.partition.work_registry.works.get(work_id)
         if work is None:
@@ -245,7 +247,7 @@
         ]
 
     async def drain_starts(self) -> None:
-        """Stop placing tasks and wait a limited time for the answers to all starts."""
+        """Refuse work and wait up to START_DRAIN_TIMEOUT_S for unconfirmed starts."""
         self._is_draining_starts = True
         self.partition.pause()
         deadline_s = self._services.clock.now() + START_DRAIN_TIMEOUT_S
@@ -255,7 +257,7 @@
             await asyncio.sleep(START_DRAIN_POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Stop deciding and end all sessions with workers permanently."""
+        """Revoke the authority and end all sessions with workers permanently."""
         self._is_closed = True
         self.partition.authority.revoke()
         await self._services.supervisor.remove(self.name)
@@ -285,13 +287,13 @@
         needs_record = (
             submission.kind is not WorkKind.REQUEST or not submission.idempotent
         )
-        if needs_record and not is_known and self._is_store_failing():
-            message = "the store is unavailable, but this work must be recorded first"
+        if needs_record and not is_known and self._is_table_failing():
+            message = "the store is unavailable; this work is accepted only if recorded"
             return Refusal(ErrorKind.STORE_UNAVAILABLE, message)
         return None
 
-    def _is_store_failing(self) -> bool:
-        return self._services.journal.is_failing or self._services.is_store_failing()
+    def _is_table_failing(self) -> bool:
+        return self._services.journal.is_failing or self._services.is_table_failing()
 
     async def _confirm_job_recorded(self, work: Work) -> Result[None, Refusal]:
         """Wait until a job is recorded, or roll back its acceptance if possible."""
@@ -306,7 +308,7 @@
         return Err(Refusal(ErrorKind.OUTCOME_UNKNOWN, message))
 
     async def _wait_until_recorded(self) -> bool:
-        """Wait for the record of all decisions and return whether it came in time."""
+        """Return whether all decisions so far are recorded within RECORD_TIMEOUT_S."""
         recorded = asyncio.Event()
         append_handle = self._last_append or self._services.journal.append(
             self.name, []
--- a/src/fuchsiadale/entry/recovery.py
+++ b/src/fuchsiadale/entry/recovery.py
@@ -1,4 +1,4 @@
-"""Reads and writes the stored state of partitions, for the recovery by an owner."""
+"""Reads and writes the stored state from which an owner recovers a partition."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
         Parameters
         ----------
         name : str
-            Name of the object, which must never have been used before.
+            Name of the object, to which no partition row refers yet.
         row : JournalRow
             The events of the snapshot.
 
@@ -102,7 +102,9 @@
             journal_key(segment.member, segment.first),
         )
         if isinstance(rows, Err):
-            return Err(f"journal of member {segment.member} cannot be read")
+            return Err(
+                f"journal of member {segment.member} cannot be read from the table"
+            )
         for row in rows.ok_value:
             if segment.last is not None and journal_row_number(row.key) > segment.last:
                 break
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -78,7 +78,7 @@
     @property
     def url(self) -> str:
         """Where callers reach the entry."""
-        port = self.daemon.callers_port if self.daemon is not None else 0
+        port = self.daemon.clients_port if self.daemon is not None else 0
         return f"http://{LOOPBACK}:{port}"
 
     async def start(self) -> EntryDaemon:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -51,6 +51,8 @@
 
 
 def test_answer_too_large_to_record_is_delivered_despite_owner_failure() -> None:
+    # After a second owner failure, a repeat with the same key succeeds without the
+    # answer and does not run again.
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             owner = cluster.owner()
@@ -72,9 +74,9 @@
             node = cluster.start_node("entry-9")
             await cluster.until(lambda: cluster.owner() == "entry-9")
             repeat = evolve(request, work_id="general.0.repeat")
-            again = (await node.router.run_request(repeat)).unwrap()
-            assert again.tasks[0].state is TaskState.SUCCEEDED
-            assert again.tasks[0].is_omitted
+            repeat_view = (await node.router.run_request(repeat)).unwrap()
+            assert repeat_view.tasks[0].state is TaskState.SUCCEEDED
+            assert repeat_view.tasks[0].is_omitted
             assert len(cluster.runs_of(request.work_id + "/")) == 1
 
     run_virtually(session())
@@ -168,7 +170,7 @@
     run_virtually(session())
 
 
-def test_repeat_of_an_ended_request_is_answered_without_delay() -> None:
+def test_repeat_of_an_ended_request_is_answered_soon() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             for number, node in enumerate(cluster.nodes.values()):
@@ -217,11 +219,11 @@
             assert all(seen.worker != "worker-1" for seen in cluster.observations)
             leaving.faults.leaving = False
             await asyncio.sleep(3.0)
-            again = [
+            second_round = [
                 entry.router.run_request(make_sleep_submission(100 + number, 0.1, True))
                 for number in range(24)
             ]
-            await asyncio.gather(*again)
+            await asyncio.gather(*second_round)
             assert any(seen.worker == "worker-1" for seen in cluster.observations)
 
     run_virtually(session())
@@ -277,6 +279,7 @@
                 assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
             ledger = entry.ownership.drivers["general.0"].partition.ledger
             assert ledger.workers["worker-0"].state is WorkerState.QUARANTINED
+            # The quarantine begins after 3 failures; the bound allows twice as many.
             assert len(cluster.workers["worker-0"].observations) <= 6
 
     run_virtually(session())
@@ -299,7 +302,7 @@
     run_virtually(session())
 
 
-def test_worker_with_a_task_above_its_declared_usage_gets_no_tasks() -> None:
+def test_worker_gets_no_tasks_while_one_of_its_tasks_uses_more_than_declared() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
@@ -320,14 +323,16 @@
             ]
             await asyncio.sleep(0.5)
             assert len(overused_worker.running) == 1
+            # The other two workers hold 8 tasks each.
             assert sum(len(w.running) for w in cluster.workers.values()) == 17
             await asyncio.gather(*pending_requests)
             await asyncio.sleep(20.0)
-            again = [
+            second_round = [
                 entry.router.run_request(make_sleep_submission(200 + number, 1.0, True))
                 for number in range(24)
             ]
-            await asyncio.gather(*again)
+            await asyncio.gather(*second_round)
+            # The ids of the second round begin with 2.
             assert any(
                 seen.worker == overused_worker.info.name
                 and "general.0.2" in seen.attempt_id
@@ -365,6 +370,7 @@
                 )
                 ids.append((await entry.router.submit_job(job)).unwrap())
             await asyncio.sleep(1.0)
+            # Any refusal serves; only its kind matters here.
             reason = evolve(
                 (await entry.router.show("general.0.none", 0.0)).unwrap_err(),
                 kind=ErrorKind.CANCELLED,
@@ -389,17 +395,19 @@
     async def session() -> None:
         async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
-            pending_request = asyncio.ensure_future(
+            non_idempotent_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 20.0, False))
             )
-            again = asyncio.ensure_future(
+            idempotent_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(2, 0.5, True))
             )
             await asyncio.sleep(0.2)
             cluster.workers["worker-0"].reboot()
-            view = (await pending_request).unwrap()
+            view = (await non_idempotent_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
-            assert (await again).unwrap().tasks[0].state is TaskState.SUCCEEDED
+            assert (await idempotent_request).unwrap().tasks[
+                0
+            ].state is TaskState.SUCCEEDED
 
     run_virtually(session())
