--- a/src/fuchsiadale/decision/workflow/planning.py
+++ b/src/fuchsiadale/decision/workflow/planning.py
@@ -1,4 +1,7 @@
-"""Decides what to start next, whom to ask for advice and what to stop for it."""
+"""Plans which waiting tasks start, which runs to preempt and what advice to request.
+
+The advice service says which workers may run a step and issues a ticket for each.
+"""
 
 from __future__ import annotations
 
@@ -8,78 +11,84 @@
 
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.workflow.jobs import Run, Step, Task
-from fuchsiadale.decision.workflow.ledger import WorkerLedger
-from fuchsiadale.decision.workflow.messages import AskAdvice, Order
-from fuchsiadale.decision.workflow.ordering import WaitingStep, in_order
+from fuchsiadale.decision.workflow.messages import Order, RequestAdvice
+from fuchsiadale.decision.workflow.ordering import WaitingStep, sort_waiting_steps
 from fuchsiadale.decision.workflow.placement import (
-    choose_gang,
+    choose_gang_workers,
     choose_worker,
+    count_fitting_tasks,
     is_suitable,
-    places,
 )
-from fuchsiadale.decision.workflow.preemption import RoomMaker
+from fuchsiadale.decision.workflow.preemption import Preemptor
 from fuchsiadale.decision.workflow.scheduler import Scheduler
+from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
-MAX_ADVISED = 30
-"""Workers named in one call for advice: what the objective allows for."""
+MAX_ADVISED_WORKERS = 30
+"""Workers named in one advice call; a longer call could make jobs miss objectives."""
 
-MAX_HOLDERS = 1
-"""Steps that may hold workers free at once in each pool; idle room serves nobody."""
+MAX_RESERVING_STEPS = 1
+"""Maximum number of steps per pool that reserve workers; reserved room stays idle."""
 
-LARGE_SHARE = 0.5
-"""Share of a worker from which a task finds room only if it is held for it."""
+LARGE_TASK_SHARE = 0.5
+"""Share of a worker from which a task counts as large, so that it needs a reservation
+to find room that smaller tasks would keep taking.
+"""
 
-CLAIMED = -1
-"""Urgency of a claim: nothing is placed on a worker where room is being made."""
+PREEMPTION_RESERVATION_PRIORITY = -1
+"""Priority under which a worker with claimed room is reserved.
 
-DEAR_ADVICE_S = 0.1
-"""Cost from which a call for advice may not take the last lanes."""
+Lower is more urgent and queues start at 0, so the pass places nothing else there.
+"""
 
-CHEAP_LANES = 2
-"""Lanes kept for cheap calls, which urgent steps wait for."""
+EXPENSIVE_ADVICE_S = 0.1
+"""Duration in seconds from which an advice call counts as expensive."""
 
+CALLS_KEPT_FOR_CHEAP_ADVICE = 2
+"""Concurrent advice calls that expensive ones leave free for those of urgent steps."""
 
-FRONT_STEPS = 3
-"""Waiting steps of a pool whose tickets are renewed before there is room for them."""
+MAX_EARLY_ADVICE_STEPS = 3
+"""Steps per pool that get and renew tickets before there is room for them."""
 
-RENEWAL_SHARE = 0.5
-"""Share of the lanes that renewals may take; first calls for a step come before."""
+EARLY_CALL_SHARE = 0.5
+"""Share of the maximum; once as many calls are open, steps without room make none."""
 
 RENEWAL_MARGIN_S = 0.1
-"""Seconds before it is needed at which a renewed ticket should be there."""
-
-MAX_UNPLACED = 24
-"""Steps of one urgency in a pool that are tried in vain before the rest is left."""
+"""Seconds by which a renewal should arrive before the present ticket expires."""
 
+MAX_UNPLACED_STEPS = 24
+"""Steps of a pool and priority that a plan fails to place before it skips the rest."""
 
-KEPT_SHARE = 0.15
-"""Share of a worker that work which cannot be stopped leaves to urgent work."""
+URGENT_HEADROOM_SHARE = 0.15
+"""Share of a worker left free for urgent work; see `_required_headroom_share`."""
 
 
 @define
-class _Round:
-    """What one plan has used up so far."""
+class _PlanState:
+    """State of one planning pass."""
 
     now_s: float
-    advice_lanes: int
-    usable: dict[str, list[WorkerLedger]]
-    room: RoomMaker
-    held: dict[str, int] = Factory(dict)
-    holders: dict[str, int] = Factory(dict)
-    unplaced: dict[tuple[str, int], int] = Factory(dict)
-    front: dict[str, int] = Factory(dict)
-
-    def is_held(self, worker: WorkerLedger, priority: int) -> bool:
-        """Tell whether a worker is kept free for more urgent work."""
-        return self.held.get(worker.entry.worker_id, priority) < priority
-
-    def takes_front(self, waiting: WaitingStep) -> bool:
-        """Tell whether a step is among the first of its pool that wait for room."""
-        if waiting.is_hopeless or waiting.step.job.is_excess:
+    max_advice_calls: int
+    usable_workers: dict[str, list[TrackedWorker]]
+    preemptor: Preemptor
+    reservations: dict[str, int] = Factory(dict)  # priority it is for, by worker
+    reserving_steps: dict[str, int] = Factory(dict)  # number by pool
+    unplaced_steps: dict[tuple[str, int], int] = Factory(dict)  # pool, priority
+    early_advice_steps: dict[str, int] = Factory(dict)  # number by pool
+
+    def is_reserved_against(self, worker: TrackedWorker, priority: int) -> bool:
+        """Tell whether a worker is reserved for work more urgent than `priority`."""
+        return self.reservations.get(worker.entry.worker_id, priority) < priority
+
+    def admit_early_advice(self, waiting: WaitingStep) -> bool:
+        """Tell whether a step is among the first of its pool in planning order.
+
+        Steps of infeasible jobs and of jobs beyond their submission rate do not count.
+        """
+        if waiting.is_infeasible or waiting.step.job.exceeds_rate:
             return False
         pool = waiting.queue.pool
-        self.front[pool] = self.front.get(pool, 0) + 1
-        return self.front[pool] <= FRONT_STEPS
+        self.early_advice_steps[pool] = self.early_advice_steps.get(pool, 0) + 1
+        return self.early_advice_steps[pool] <= MAX_EARLY_ADVICE_STEPS
 
 
 class Planner:
@@ -88,283 +97,320 @@
     Parameters
     ----------
     scheduler : Scheduler
-        Whose tasks it starts.
+        Holds the tasks and the workers, and takes the orders.
     """
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
 
-    def plan(self, advice_lanes: int) -> list[Order]:
-        """Start what can start now.
+    def plan(self, max_advice_calls: int) -> list[Order]:
+        """Place waiting tasks; preempt runs or request advice for those without room.
 
         Parameters
         ----------
-        advice_lanes : int
-            Calls for advice that can be under way at once.
+        max_advice_calls : int
+            Maximum number of concurrent advice calls.
 
         Returns
         -------
         orders : list of Order
-            What to carry out.
+            The orders to carry out, including those pending from earlier events.
         """
         scheduler = self._scheduler
         now_s = scheduler.clock.now()
-        usable: dict[str, list[WorkerLedger]] = {}
+        usable_workers: dict[str, list[TrackedWorker]] = {}
         for worker in scheduler.workers.values():
             if worker.is_usable(now_s):
-                usable.setdefault(worker.entry.pool, []).append(worker)
-        room = RoomMaker(scheduler.queue_of, now_s)
-        current = _Round(now_s, advice_lanes, usable, room)
-        steps = scheduler.live_steps.values()
+                usable_workers.setdefault(worker.entry.pool, []).append(worker)
+        preemptor = Preemptor(scheduler.queue_of, now_s)
+        state = _PlanState(now_s, max_advice_calls, usable_workers, preemptor)
+        steps = scheduler.active_steps.values()
         forecast = scheduler.forecast()
-        for waiting in in_order(steps, scheduler.queue_of, forecast, now_s):
+        for waiting in sort_waiting_steps(steps, scheduler.queue_of, forecast, now_s):
             group = (waiting.queue.pool, waiting.queue.priority)
-            if current.unplaced.get(group, 0) >= MAX_UNPLACED:
+            if state.unplaced_steps.get(group, 0) >= MAX_UNPLACED_STEPS:
                 continue
-            left = len(waiting.step.waiting)
-            self._plan_step(waiting, current)
-            if len(waiting.step.waiting) == left:
-                current.unplaced[group] = current.unplaced.get(group, 0) + 1
-        return scheduler.take_orders()
+            waiting_before = len(waiting.step.waiting_tasks)
+            self._plan_step(waiting, state)
+            if len(waiting.step.waiting_tasks) == waiting_before:
+                state.unplaced_steps[group] = state.unplaced_steps.get(group, 0) + 1
+        return scheduler.pop_orders()
 
-    def _plan_step(self, waiting: WaitingStep, current: _Round) -> None:
+    def _plan_step(self, waiting: WaitingStep, state: _PlanState) -> None:
         step = waiting.step
         workers = [
             worker
-            for worker in current.usable.get(waiting.queue.pool, [])
-            if not current.is_held(worker, waiting.queue.priority)
+            for worker in state.usable_workers.get(waiting.queue.pool, [])
+            if not state.is_reserved_against(worker, waiting.queue.priority)
             and is_suitable(step, worker)
         ]
         if step.specification.is_gang:
-            self._plan_gang(waiting, workers, current)
+            self._plan_gang(waiting, workers, state)
         else:
-            self._plan_tasks(waiting, workers, current)
+            self._plan_tasks(waiting, workers, state)
 
     def _plan_tasks(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[TrackedWorker], state: _PlanState
     ) -> None:
         step = waiting.step
-        allowed = _with_tickets(waiting, workers, current.now_s)
-        kept_share = _kept_share(waiting)
-        for task in list(step.waiting.values()):
+        allowed = _workers_with_tickets(waiting, workers, state.now_s)
+        headroom_share = _required_headroom_share(waiting)
+        for task in list(step.waiting_tasks.values()):
             if not self._is_within_limit(step, 1):
                 return
-            worker = choose_worker(task, allowed, kept_share)
+            worker = choose_worker(task, allowed, headroom_share)
             if worker is None:
                 break
-            self._scheduler.place(task, worker, self._scheduler.next_run([task]))
-        if not step.waiting:
+            self._scheduler.place_task(
+                task, worker, self._scheduler.next_run_number([task])
+            )
+        if not step.waiting_tasks:
             return
-        if allowed and not waiting.is_hopeless:
-            self._make_room(waiting, allowed, len(step.waiting), current)
+        if allowed and not waiting.is_infeasible:
+            self._preempt_runs(waiting, allowed, len(step.waiting_tasks), state)
         if waiting.queue.advice is not None:
-            self._ask(waiting, workers, 1, current)
-        if not waiting.is_hopeless and _is_large(step, workers):
-            self._hold_room(waiting, workers, 1, current)
+            self._request_advice(waiting, workers, 1, state)
+        if not waiting.is_infeasible and _has_large_tasks(step, workers):
+            self._reserve_workers(waiting, workers, 1, state)
 
     def _plan_gang(
-        self, waiting: WaitingStep, workers: list[WorkerLedger], current: _Round
+        self, waiting: WaitingStep, workers: list[TrackedWorker], state: _PlanState
     ) -> None:
         step = waiting.step
-        if len(step.waiting) < len(step.tasks):
+        if len(step.waiting_tasks) < len(step.tasks):
             return
         if not self._is_within_limit(step, len(step.tasks)):
             return
-        allowed = _with_tickets(waiting, workers, current.now_s)
-        placements = choose_gang(step.tasks, allowed)
+        allowed = _workers_with_tickets(waiting, workers, state.now_s)
+        placements = choose_gang_workers(step.tasks, allowed)
         if placements is not None:
             self._start_gang(step, placements)
             return
-        if not waiting.is_hopeless:
-            made = self._make_room(waiting, allowed, len(step.tasks), current)
-            if made:
+        if not waiting.is_infeasible:
+            has_room = self._preempt_runs(waiting, allowed, len(step.tasks), state)
+            if has_room:
                 return
         if waiting.queue.advice is not None:
-            self._ask(waiting, workers, len(step.tasks), current)
-        self._hold_room(waiting, workers, len(step.tasks), current)
+            self._request_advice(waiting, workers, len(step.tasks), state)
+        self._reserve_workers(waiting, workers, len(step.tasks), state)
 
-    def _hold_room(
+    def _reserve_workers(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        workers: list[TrackedWorker],
+        task_count: int,
+        state: _PlanState,
     ) -> None:
-        """Keep workers free for a gang, or for a task that takes most of one."""
+        """Reserve workers for a gang or for a large task."""
         pool = waiting.queue.pool
-        count = current.holders.get(pool, 0)
-        if count < MAX_HOLDERS:
-            current.holders[pool] = count + 1
+        reserving_count = state.reserving_steps.get(pool, 0)
+        if reserving_count < MAX_RESERVING_STEPS:
+            state.reserving_steps[pool] = reserving_count + 1
             priority = waiting.queue.priority
-            for worker_id in _nearest_to_free(waiting.step, workers, tasks):
-                current.held.setdefault(worker_id, priority)
+            for worker_id in _workers_to_reserve(waiting.step, workers, task_count):
+                state.reservations.setdefault(worker_id, priority)
 
     def _start_gang(
-        self, step: Step, placements: list[tuple[Task, WorkerLedger]]
+        self, step: Step, placements: list[tuple[Task, TrackedWorker]]
     ) -> None:
-        number = self._scheduler.next_run(step.tasks)
+        number = self._scheduler.next_run_number(step.tasks)
         checkpoint = _gang_checkpoint(step.tasks)
         for task, worker in placements:
             task.checkpoint = checkpoint
-            self._scheduler.place(task, worker, number)
+            self._scheduler.place_task(task, worker, number)
 
-    def _make_room(
+    def _preempt_runs(
         self,
         waiting: WaitingStep,
-        allowed: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        allowed: list[TrackedWorker],
+        task_count: int,
+        state: _PlanState,
     ) -> bool:
-        """Stop less urgent runs; tell whether room for every task will be free.
+        """Preempt less urgent runs to make room for tasks of a step.
 
         A gang claims room for all of its tasks or for none.
+
+        Returns
+        -------
+        is_complete : bool
+            Whether there will be room for every task.
         """
         step = waiting.step
         needed = step.specification.charged
         priority = waiting.queue.priority
-        claims: list[tuple[WorkerLedger, list[Run]]] = []
-        for _ in range(tasks):
-            claim = _cheapest_claim(current.room, allowed, needed, priority)
+        claims: list[tuple[TrackedWorker, list[Run]]] = []
+        for _ in range(task_count):
+            claim = _claim_cheapest_room(state.preemptor, allowed, needed, priority)
             if claim is None:
                 break
             claims.append(claim)
-        is_whole = len(claims) == tasks
-        if step.specification.is_gang and not is_whole:
+        is_complete = len(claims) == task_count
+        if step.specification.is_gang and not is_complete:
             for worker, victims in claims:
-                current.room.release(worker, needed, victims)
+                state.preemptor.release_room(worker, needed, victims)
             return False
         for worker, victims in claims:
-            current.held[worker.entry.worker_id] = CLAIMED
+            state.reservations[worker.entry.worker_id] = PREEMPTION_RESERVATION_PRIORITY
             for run in victims:
                 self._scheduler.preempt(run)
-        return is_whole
+        return is_complete
 
-    def _ask(
+    def _request_advice(
         self,
         waiting: WaitingStep,
-        workers: list[WorkerLedger],
-        tasks: int,
-        current: _Round,
+        workers: list[TrackedWorker],
+        task_count: int,
+        state: _PlanState,
     ) -> None:
-        """Ask for tickets on workers that have, or can make, room for the step."""
+        """Request tickets for workers that have or can get room for tasks of a step."""
         scheduler = self._scheduler
         step, advice = waiting.step, waiting.queue.advice
-        if advice is None or step.is_asking or current.now_s < step.ask_not_before_s:
+        if (
+            advice is None
+            or step.is_awaiting_advice
+            or state.now_s < step.next_advice_request_s
+        ):
             return
         needed = step.specification.charged
-        priority = None if waiting.is_hopeless else waiting.queue.priority
-        is_front = current.takes_front(waiting)
-        is_front = is_front and scheduler.asking < RENEWAL_SHARE * current.advice_lanes
-        renewed_s = current.now_s + advice.base_s + RENEWAL_MARGIN_S
-        with_room = 0
-        named: list[tuple[int, str]] = []
+        priority = None if waiting.is_infeasible else waiting.queue.priority
+        asks_early = state.admit_early_advice(waiting)
+        asks_early = (
+            asks_early
+            and scheduler.pending_advice_requests
+            < EARLY_CALL_SHARE * state.max_advice_calls
+        )
+        renew_before_s = state.now_s + advice.base_s + RENEWAL_MARGIN_S
+        total_fitting = 0
+        candidates: list[tuple[int, str]] = []
         for worker in workers:
             worker_id = worker.entry.worker_id
-            if step.advised.get(worker_id) is False:
+            if step.advice_by_worker.get(worker_id) is False:
                 continue
-            free = current.room.reachable(worker, priority, advice.base_s)
-            room = places(free, needed)
-            if step.has_ticket(worker_id, current.now_s):
-                with_room += room if tasks > 1 else 0
-                if is_front and not step.has_ticket(worker_id, renewed_s):
-                    named.append((-room, worker_id))
+            room = state.preemptor.find_attainable_room(worker, priority, advice.base_s)
+            fitting = count_fitting_tasks(room, needed)
+            if step.has_valid_ticket(worker_id, state.now_s):
+                # A gang also uses the workers that it has tickets for; a single task
+                # would have been placed there already.
+                total_fitting += fitting if task_count > 1 else 0
+                if asks_early and not step.has_valid_ticket(worker_id, renew_before_s):
+                    candidates.append((-fitting, worker_id))
                 continue
-            with_room += room
-            is_granted = step.advised.get(worker_id, False)
-            if room or worker_id not in step.advised or (is_front and is_granted):
-                named.append((-room, worker_id))
-        if (with_room < tasks and not is_front) or not named:
+            total_fitting += fitting
+            is_granted = step.advice_by_worker.get(worker_id, False)
+            if (
+                fitting
+                or worker_id not in step.advice_by_worker
+                or (asks_early and is_granted)
+            ):
+                candidates.append((-fitting, worker_id))
+        if (total_fitting < task_count and not asks_early) or not candidates:
             return
-        named.sort()
-        chosen = tuple(worker_id for _, worker_id in named[:MAX_ADVISED])
-        cost_s = advice.cost_s(len(chosen))
-        kept = CHEAP_LANES if cost_s >= DEAR_ADVICE_S else 0
-        if scheduler.asking >= max(1, current.advice_lanes - kept):
+        candidates.sort()
+        chosen = tuple(worker_id for _, worker_id in candidates[:MAX_ADVISED_WORKERS])
+        duration_s = advice.call_duration_s(len(chosen))
+        kept = CALLS_KEPT_FOR_CHEAP_ADVICE if duration_s >= EXPENSIVE_ADVICE_S else 0
+        if scheduler.pending_advice_requests >= max(1, state.max_advice_calls - kept):
             return
-        step.is_asking = True
-        scheduler.order(AskAdvice(step.name, chosen, cost_s))
+        step.is_awaiting_advice = True
+        scheduler.issue_order(RequestAdvice(step.name, chosen, duration_s))
 
-    def _is_within_limit(self, step: Step, tasks: int) -> bool:
+    def _is_within_limit(self, step: Step, task_count: int) -> bool:
         workspace = step.job.record.workspace
         limit = self._scheduler.limit_of(workspace)
-        amount = step.specification.request.times(tasks)
+        amount = step.specification.request.times(task_count)
         return self._scheduler.usage.allows(workspace, amount, limit)
 
 
-def _with_tickets(
-    waiting: WaitingStep, workers: list[WorkerLedger], now_s: float
-) -> list[WorkerLedger]:
-    """Return the workers that may run a step now."""
+def _workers_with_tickets(
+    waiting: WaitingStep, workers: list[TrackedWorker], now_s: float
+) -> list[TrackedWorker]:
+    """Return the workers that advice permits to run tasks of a step now."""
     if waiting.queue.advice is None:
         return workers
     return [
         worker
         for worker in workers
-        if waiting.step.has_ticket(worker.entry.worker_id, now_s)
+        if waiting.step.has_valid_ticket(worker.entry.worker_id, now_s)
     ]
 
 
-def _kept_share(waiting: WaitingStep) -> float:
-    """Return the share of a worker that a step has to leave free.
+def _required_headroom_share(waiting: WaitingStep) -> float:
+    """Return the share of a worker that tasks of a step must leave free.
 
-    Answers bursts of urgent work on pools filled with work that loses what it has done
-    when it is stopped. Lasting work and work that resumes fill a worker whole.
+    The headroom is for bursts of urgent work on a pool that is full of work without
+    checkpoints, which would lose its progress if it was stopped. Tasks with
+    checkpoints, lasting tasks and tasks of priority 0 may use all of a worker.
     """
     specification = waiting.step.specification
-    is_short = not specification.is_lasting and not specification.is_checkpointing
-    return KEPT_SHARE if waiting.queue.priority > 0 and is_short else 0.0
+    must_leave_headroom = (
+        not specification.is_lasting and not specification.is_checkpointing
+    )
+    return (
+        URGENT_HEADROOM_SHARE
+        if waiting.queue.priority > 0 and must_leave_headroom
+        else 0.0
+    )
 
 
-def _cheapest_claim(
-    room: RoomMaker, workers: Iterable[WorkerLedger], needed: Resources, priority: int
-) -> tuple[WorkerLedger, list[Run]] | None:
-    """Claim room on the worker where the fewest runs have to stop for it."""
-    best: tuple[WorkerLedger, list[Run]] | None = None
+def _claim_cheapest_room(
+    preemptor: Preemptor,
+    workers: Iterable[TrackedWorker],
+    needed: Resources,
+    priority: int,
+) -> tuple[TrackedWorker, list[Run]] | None:
+    """Claim room where it takes the fewest preemptions; None if no worker has room."""
+    best: tuple[TrackedWorker, list[Run]] | None = None
     for worker in workers:
-        victims = room.claim(worker, needed, priority)
+        victims = preemptor.claim_room(worker, needed, priority)
         if victims is None:
             continue
         if best is not None and len(best[1]) <= len(victims):
-            room.release(worker, needed, victims)
+            preemptor.release_room(worker, needed, victims)
             continue
         if best is not None:
-            room.release(best[0], needed, best[1])
+            preemptor.release_room(best[0], needed, best[1])
         best = (worker, victims)
         if not victims:
             break
     return best
 
 
-def _is_large(step: Step, workers: list[WorkerLedger]) -> bool:
-    """Tell whether a task takes most of any worker that may run it."""
+def _has_large_tasks(step: Step, workers: list[TrackedWorker]) -> bool:
+    """Tell whether a task of a step is large for every worker that could run it."""
     charged = step.specification.charged
     return bool(workers) and all(
-        charged.dominant_share(worker.entry.capacity) >= LARGE_SHARE
+        charged.dominant_share(worker.entry.capacity) >= LARGE_TASK_SHARE
         for worker in workers
     )
 
 
-def _nearest_to_free(step: Step, workers: list[WorkerLedger], tasks: int) -> set[str]:
-    """Return the workers to keep free until tasks fit, nearest to it first."""
+def _workers_to_reserve(
+    step: Step, workers: list[TrackedWorker], task_count: int
+) -> set[str]:
+    """Return the ids of the workers to reserve, preferring those that lack least room.
+
+    Once advice was received, only workers that it granted are reserved. No worker is
+    reserved for a gang whose tasks would not all fit even on empty workers.
+    """
     needed = step.specification.charged
     candidates = [
         worker
         for worker in workers
-        if step.advised.get(worker.entry.worker_id, not step.advised)
+        if step.advice_by_worker.get(worker.entry.worker_id, not step.advice_by_worker)
     ]
     candidates.sort(
         key=lambda worker: (needed - worker.free).dominant_share(worker.entry.capacity)
     )
-    held: set[str] = set()
-    count = 0
+    chosen: set[str] = set()
+    fitting = 0
     for worker in candidates:
-        if count >= tasks:
+        if fitting >= task_count:
             break
-        count += places(worker.entry.capacity, needed)
-        held.add(worker.entry.worker_id)
-    return held if count >= tasks or not step.specification.is_gang else set()
+        fitting += count_fitting_tasks(worker.entry.capacity, needed)
+        chosen.add(worker.entry.worker_id)
+    return chosen if fitting >= task_count or not step.specification.is_gang else set()
 
 
 def _gang_checkpoint(tasks: list[Task]) -> str:
-    """Return a checkpoint that every member of a gang can resume from."""
+    """Return the checkpoint that all tasks of a gang resume from; empty if none."""
     return next((task.checkpoint for task in tasks if task.checkpoint), "")
--- a/src/fuchsiadale/decision/workflow/triage.py
+++ b/src/fuchsiadale/decision/workflow/triage.py
@@ -1,10 +1,10 @@
-"""Chooses which waiting jobs to defer when a pool cannot serve all in time.
+"""Selects the waiting jobs to defer when a pool cannot serve all of them in time.
 
-Answers a burst, or a backlog after an outage, on queues of one urgency: serving the
-earliest objective first would then meet hardly any. Jobs are taken in the order of
-their objectives; whenever one would be late, the largest taken so far is deferred,
-which keeps the most jobs in time (Moore, "An n job, one machine sequencing algorithm
-for minimizing the number of late jobs", Management Science, 1968).
+In a burst, or a backlog after an outage, of jobs of one priority, serving the earliest
+deadline first would meet hardly any objective. Instead, jobs are accepted in the order
+of their deadlines, and whenever one would be late, the largest job accepted so far is
+deferred. This keeps the most jobs in time (Moore, "An n job, one machine sequencing
+algorithm for minimizing the number of late jobs", Management Science, 1968).
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 
 @frozen
 class Demand:
-    """What a waiting job still needs.
+    """Remaining work and deadline of a waiting job.
 
     Attributes
     ----------
     job_id : str
-        The job.
+        Id of the job.
     work_s : float
-        Seconds for which its remaining work would fill the whole pool.
-    chain_s : float
-        Its longest chain of remaining work, in seconds.
+        Time for which its remaining work would fill the whole pool, in seconds.
+    least_remaining_s : float
+        Least time that the critical path of its remaining work takes, in seconds.
     due_s : float
-        When its objective lapses, on the loop's clock.
+        Its deadline by the objective, on the loop's clock.
     """
 
     job_id: str
     work_s: float
-    chain_s: float
+    least_remaining_s: float
     due_s: float
 
 
-def jobs_to_defer(demands: Iterable[Demand], now_s: float) -> set[str]:
-    """Return the jobs to serve after all others so that most are in time."""
-    taken: list[tuple[float, str]] = []
+def select_deferred_jobs(demands: Iterable[Demand], now_s: float) -> set[str]:
+    """Return the ids of the jobs to serve after the others to keep the most in time."""
+    accepted: list[tuple[float, str]] = []
     deferred: set[str] = set()
-    busy_s = 0.0
+    total_work_s = 0.0
     for demand in sorted(demands, key=lambda item: item.due_s):
-        heappush(taken, (-demand.work_s, demand.job_id))
-        busy_s += demand.work_s
-        if now_s + max(busy_s, demand.chain_s) > demand.due_s:
-            negative_work_s, job_id = heappop(taken)
-            busy_s += negative_work_s
+        heappush(accepted, (-demand.work_s, demand.job_id))
+        total_work_s += demand.work_s
+        if now_s + max(total_work_s, demand.least_remaining_s) > demand.due_s:
+            negative_work_s, job_id = heappop(accepted)
+            total_work_s += negative_work_s
             deferred.add(job_id)
     return deferred
