--- a/src/fuchsiadale/entry/ownership_driver.py
+++ b/src/fuchsiadale/entry/ownership_driver.py
@@ -338,7 +338,7 @@
         row_version: int,
         taken_over: bool,
     ) -> None:
-        """Recover the partition, retrying until it is readable, and start its driver."""
+        """Recover the partition, retry until it is readable, and start its driver."""
         authority = Authority(
             self._services.clock, row.witnesses, taken_over, config.fencing
         )
