--- a/src/fuchsiadale/entry/gossip_driver.py
+++ b/src/fuchsiadale/entry/gossip_driver.py
@@ -101,7 +101,7 @@
     def handle_request(self, request: GossipRequest) -> GossipReply:
         """Process the gossip request of a peer and return the reply."""
         if request.partition_released:
-            self._ownership.wake()
+            self._ownership.request_reconciliation()
         totals: list[TeamUse] = []
         for use in request.uses:
             self._reported_usage[use.team][request.member] = _decode_use(use)
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -146,7 +146,7 @@
                     scheduler.set_grant(name, NO_LIMIT)
                 elif name not in scheduler.allowances:
                     scheduler.set_grant(name, NO_RESOURCES)
-            driver.kick()
+            driver.schedule_step()
 
     async def update_grants(self) -> None:
         """Update the grants of every partition for the teams that are active there."""
@@ -203,7 +203,7 @@
             await self._raise_grant(driver, name, team, state, version, wanted or used)
         elif state.ceiling is not None:
             driver.partition.enforce_grant(name)
-            driver.kick()
+            driver.schedule_step()
             if used.fits_in(state.ceiling):
                 await self._lower_grant(driver, name, state, state.ceiling)
         elif wanted is not None:
@@ -239,7 +239,7 @@
             state.retry_at_s = self._clock.now() + GRANT_RETRY_DELAY_S
             self._counters.add("limited.team")
         if state.grant != previous_grant:
-            driver.kick()
+            driver.schedule_step()
 
     async def _lower_grant(
         self,
--- a/src/fuchsiadale/entry/identity.py
+++ b/src/fuchsiadale/entry/identity.py
@@ -1,4 +1,4 @@
-"""Which member of the cluster this process is."""
+"""The identity of this process as a member of the cluster."""
 
 from __future__ import annotations
 
@@ -7,20 +7,29 @@
 
 
 class Identity:
-    """The member that this process is at present.
+    """The identity of this process as a member of the cluster.
 
-    A process that was declared dead while it was paused joins again as a new member.
+    A process that was declared dead, for example while it was paused, joins again as a
+    new member with another name.
 
     Parameters
     ----------
     host : str
         Name of the entry host.
     failure_domain : str
-        Its failure domain.
+        Failure domain of the host.
     peer_address : str
-        Where its peers reach it.
+        Address at which the process listens for its peers.
     ids : IdSource
-        Makes the members' names unique.
+        Generates the random part of the member names.
+
+    Attributes
+    ----------
+    member : str
+        Name of the current member.
+    liveness_version : int
+        Version of the liveness row of the member in the table; 0 before it has joined
+        and after it has left.
     """
 
     def __init__(
@@ -31,16 +40,29 @@
         self._failure_domain = failure_domain
         self._peer_address = peer_address
         self.member = ""
-        self.alive_version = 0
-        self.renew()
+        self.liveness_version = 0
+        self.assign_new_member()
 
-    def renew(self) -> None:
-        """Become a new member that has not joined yet."""
+    def assign_new_member(self) -> None:
+        """Generate a new member name and record that it has not joined yet."""
         self.member = f"{self._host}.{self._ids.new()[:8]}"
-        self.alive_version = 0
+        self.liveness_version = 0
+
+    def build_row(self, renewals: int, draining: bool) -> MemberRow:
+        """Return the row of the current member.
+
+        Parameters
+        ----------
+        renewals : int
+            Number of renewals that this process has attempted so far.
+        draining : bool
+            Whether the process is about to stop.
 
-    def row(self, renewals: int, draining: bool) -> MemberRow:
-        """Return this member's row."""
+        Returns
+        -------
+        MemberRow
+            The row to write to the table.
+        """
         return MemberRow(
             member=self.member,
             host=self._host,
