--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -1,4 +1,4 @@
-"""A partition that this member owns: its driver and its row in the table."""
+"""A partition that this member owns, with its driver and its row in the table."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from fuchsiadale.entry.identity import Identity
 from fuchsiadale.entry.journal import Journal
 from fuchsiadale.entry.partition_driver import PartitionDriver
-from fuchsiadale.entry.recovery import RecordedState
-from fuchsiadale.entry.workers_driver import WorkerList
+from fuchsiadale.entry.recovery import PartitionStateStore
+from fuchsiadale.entry.worker_list import WorkerList
 from fuchsiadale.metrics import Counters
 from fuchsiadale.ports.table import (
     Condition,
@@ -30,38 +30,57 @@
     transact_with_readback,
 )
 
-SNAPSHOT_EVENTS = 5000
-SNAPSHOT_ROWS = 2000
+# A new snapshot is due after this many events since the last attempt to write one.
+SNAPSHOT_EVENT_THRESHOLD = 5000
+# A new snapshot is due once the member's journal has grown by this many rows since
+# the partition's current segment began.
+SNAPSHOT_ROW_THRESHOLD = 2000
+# A new snapshot is due if the partition has more journal segments than this; each new
+# owner adds one.
 MAX_SEGMENTS = 4
 
 
 class HostedPartition:
-    """Keeps the row of an owned partition in step with its driver.
+    """Updates the row of an owned partition as the state of its driver changes.
 
     Parameters
     ----------
     pool : str
-        The pool that it is a slice of.
+        Name of the pool that the partition is a slice of.
     driver : PartitionDriver
-        Drives it.
+        Driver of the partition.
     authority : Authority
-        The right to act for it.
+        Authority to act for the partition.
     row : PartitionRow
-        Its row.
+        Row of the partition.
     row_version : int
-        The row's version.
+        Version of the row.
     table : TableService
-        Holds the row.
-    state : RecordedState
-        Takes snapshots.
+        The table that holds the row.
+    state_store : PartitionStateStore
+        Stores snapshots.
     worker_list : WorkerList
-        The workers.
+        The listed workers.
     identity : Identity
-        This member.
+        Identity of this member.
     journal : Journal
-        Its journal.
+        Journal of this member.
     counters : Counters
-        Takes the counts.
+        Counts the snapshots.
+
+    Attributes
+    ----------
+    pool : str
+        Name of the pool that the partition is a slice of.
+    driver : PartitionDriver
+        Driver of the partition.
+    authority : Authority
+        Authority to act for the partition.
+    row : PartitionRow
+        Row of the partition as this member last wrote it.
+    not_preferred_since_s : float or None
+        Time since which the assignment prefers another owner, on the local clock in
+        seconds; None if it does not.
     """
 
     def __init__(
@@ -72,7 +91,7 @@
         row: PartitionRow,
         row_version: int,
         table: TableService,
-        state: RecordedState,
+        state_store: PartitionStateStore,
         worker_list: WorkerList,
         identity: Identity,
         journal: Journal,
@@ -82,10 +101,10 @@
         self.driver = driver
         self.authority = authority
         self.row = row
-        self.unwanted_since_s: float | None = None
+        self.not_preferred_since_s: float | None = None
         self._row_version = row_version
         self._table = table
-        self._state = state
+        self._state_store = state_store
         self._worker_list = worker_list
         self._identity = identity
         self._journal = journal
@@ -93,72 +112,106 @@
 
     @property
     def listed_workers(self) -> list[WorkerInfo]:
-        """The listed workers among the partition's witnesses."""
-        known = self._worker_list.workers
-        return [known[name] for name in self.row.witnesses if name in known]
-
-    def show_workers(self) -> None:
-        """Let the driver see the host list and the witnesses."""
+        """The workers in the list of workers that are witnesses of the partition."""
+        workers_by_name = self._worker_list.workers
+        return [
+            workers_by_name[name]
+            for name in self.row.witnesses
+            if name in workers_by_name
+        ]
+
+    def update_driver_workers(self) -> None:
+        """Pass the listed workers and the witnesses to the driver."""
         self.driver.set_workers(self.listed_workers, self.row.witnesses)
 
     async def release(self) -> bool:
-        """Free the partition; return whether the row surely says so."""
+        """Remove this member as owner from the row of the partition.
+
+        This ends its journal segment at the last recorded row.
+
+        Returns
+        -------
+        bool
+            Whether the row is certainly written.
+        """
         last = self._journal.next_number - 1
         segments = (*self.row.segments[:-1], evolve(self.row.segments[-1], last=last))
         return await self._write_row(evolve(self.row, owner="", segments=segments))
 
     async def update_witnesses(self, configuration: Configuration) -> None:
-        """Bring the row's witness set to the workers listed or charged."""
+        """Update the witnesses in the row of the partition.
+
+        The witnesses are the listed workers of the partition and all workers that still
+        have attempts of it. The row stays as it is if the pool is not configured, the
+        witnesses are unchanged or the owner may not act.
+
+        Parameters
+        ----------
+        configuration : Configuration
+            The configuration in force.
+        """
         pool = configuration.pools.get(self.pool)
         if pool is None:
             return
-        listed = self._worker_list.of_partition(
+        listed = self._worker_list.list_partition_workers(
             self.pool, pool.slices, self.driver.name
         )
-        charged = self.driver.partition.ledger.workers
-        wanted = {info.name for info in listed}
-        wanted |= {name for name, worker in charged.items() if worker.attempts}
-        if wanted == set(self.row.witnesses) or not self.authority.may_act():
+        ledger_workers = self.driver.partition.ledger.workers
+        witness_names = {info.name for info in listed}
+        witness_names |= {
+            name for name, worker in ledger_workers.items() if worker.attempts
+        }
+        if witness_names == set(self.row.witnesses) or not self.authority.may_act():
             return
-        witnesses = tuple(sorted(wanted))
+        witnesses = tuple(sorted(witness_names))
         self.authority.propose_witnesses(witnesses)
         if await self._write_row(evolve(self.row, witnesses=witnesses)):
             self.authority.confirm_witnesses(witnesses)
-            self.show_workers()
+            self.update_driver_workers()
 
-    async def snapshot_if_due(self) -> None:
-        """Replace the journal so far by a snapshot once it has grown long.
+    async def write_snapshot_if_due(self) -> None:
+        """Write a snapshot if there are many events, an old segment or many segments.
 
-        A quiet partition is written too, since it holds back the cutting of the whole
-        member's journal.
+        A partition without new events needs one too, because the member's journal
+        cannot be truncated beyond the start of the partition's segment.
         """
         first = self._journal.next_number
         segments = self.row.segments
-        is_long = self.driver.events_since_snapshot >= SNAPSHOT_EVENTS
-        is_old = first - segments[-1].first >= SNAPSHOT_ROWS
-        is_scattered = len(segments) > MAX_SEGMENTS
-        if is_long or is_old or is_scattered:
-            await self._snapshot(first)
-
-    async def _snapshot(self, first: int) -> None:
-        """Write a snapshot that holds everything recorded before row `first`."""
+        has_many_events = self.driver.events_since_snapshot >= SNAPSHOT_EVENT_THRESHOLD
+        has_old_segment = first - segments[-1].first >= SNAPSHOT_ROW_THRESHOLD
+        has_many_segments = len(segments) > MAX_SEGMENTS
+        if has_many_events or has_old_segment or has_many_segments:
+            await self._write_snapshot(first)
+
+    async def _write_snapshot(self, first: int) -> None:
+        """Write a snapshot that replaces all journal segments of the partition.
+
+        The new segment begins at row `first` of this member's journal.
+        """
         entry = JournalEntry(
             self.driver.name,
             list(self.driver.partition.work_registry.snapshot_events()),
         )
         name = f"snapshot/{self.driver.name}/{self.row.epoch}-{first}"
         self.driver.events_since_snapshot = 0
-        written = await self._state.write_snapshot(name, JournalRow([entry]))
+        written = await self._state_store.write_snapshot(name, JournalRow([entry]))
         if isinstance(written, Err):
             return
-        former = self.row.snapshot
+        previous_snapshot = self.row.snapshot
         segment = JournalSegment(self._identity.member, first)
         if await self._write_row(evolve(self.row, snapshot=name, segments=(segment,))):
             self._counters.add("ownership.snapshot")
-            if former:
-                await self._state.discard_snapshot(former)
+            if previous_snapshot:
+                await self._state_store.delete_snapshot(previous_snapshot)
 
     async def _write_row(self, row: PartitionRow) -> bool:
+        """Write the row if the stored row still has the version last seen.
+
+        Returns
+        -------
+        bool
+            Whether the row is certainly written.
+        """
         key = partition_key(self.driver.name)
         transaction = Transaction(
             writes=(Write(key, encode(row)),),
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -1,4 +1,4 @@
-"""Configuration, keys and rights over several entries, on a virtual clock."""
+"""Changes of the configuration and its keys on several entries, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from tests.cluster import CONFIG, TestCluster
 from tests.virtual_loop import run_virtually
 
-IN_FORCE_S = 18.0
-WITHDRAWN_S = 10.0
+# Seconds within which a change must be in force on every entry.
+PROPAGATION_TIMEOUT_S = 18.0
+# Seconds within which a withdrawn key must be rejected on every entry.
+WITHDRAWAL_TIMEOUT_S = 10.0
 
 
-def test_withdrawn_key_stops_everywhere_also_without_the_store() -> None:
+def test_entries_cut_off_from_the_store_stop_accepting_a_withdrawn_key() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             nodes = cluster.nodes
@@ -26,7 +28,7 @@
                     node.config.document.find_team_by_key(key.text) == "guild"
                     for node in nodes.values()
                 ),
-                IN_FORCE_S,
+                PROPAGATION_TIMEOUT_S,
             )
             cluster.links["entry-1"].store_cut = True
             cluster.links["entry-2"].store_cut = True
@@ -36,18 +38,19 @@
                 lambda: (
                     nodes["entry-1"].config.document.find_team_by_key(key.text) is None
                 ),
-                WITHDRAWN_S,
+                WITHDRAWAL_TIMEOUT_S,
             )
             await cluster.until(
                 lambda: not nodes["entry-2"].config.freshness.is_fresh(),
-                WITHDRAWN_S + 1.0,
+                # Isolated entries learn nothing; their configuration becomes stale.
+                WITHDRAWAL_TIMEOUT_S + 1.0,
             )
             assert nodes["entry-1"].config.freshness.is_fresh()
 
     run_virtually(session())
 
 
-def test_store_outage_for_all_leaves_the_configuration_in_force() -> None:
+def test_configuration_stays_fresh_while_no_entry_reaches_the_store() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
             cluster.faults.table_down = True
@@ -58,18 +61,18 @@
     run_virtually(session())
 
 
-def test_one_of_two_racing_operators_wins_and_the_other_learns_which() -> None:
+def test_loser_of_two_concurrent_changes_gets_a_version_conflict() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             first, second = cluster.nodes.values()
             base = first.config.document.version
             files = [SourceFile("all.yaml", CONFIG)]
             outcomes = await asyncio.gather(
-                first.config.change_folder(files, base),
-                second.config.change_folder(files, base),
+                first.config.replace_from_files(files, base),
+                second.config.replace_from_files(files, base),
             )
-            winners = [each for each in outcomes if isinstance(each, Ok)]
-            losers = [each.unwrap_err() for each in outcomes if each.is_err()]
+            winners = [outcome for outcome in outcomes if isinstance(outcome, Ok)]
+            losers = [outcome.unwrap_err() for outcome in outcomes if outcome.is_err()]
             assert len(winners) == 1
             assert [refusal.kind for refusal in losers] == [ErrorKind.VERSION_CONFLICT]
             assert f"version {base + 1}" in losers[0].message
@@ -77,7 +80,7 @@
     run_virtually(session())
 
 
-def test_change_whose_answer_was_lost_is_told_as_done() -> None:
+def test_change_is_reported_as_done_when_the_answer_of_the_store_is_lost() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             node = cluster.nodes["entry-0"]
@@ -85,7 +88,7 @@
             changed = None
             for _ in range(20):
                 cluster.faults.lost_answers = 1
-                outcome = await node.config.change_folder(
+                outcome = await node.config.replace_from_files(
                     [SourceFile("all.yaml", CONFIG)], None
                 )
                 changed = outcome.unwrap()
@@ -112,7 +115,7 @@
     run_virtually(session())
 
 
-def test_configuration_never_reverts_over_restarts_and_outages() -> None:
+def test_configuration_never_reverts_through_restarts_and_outages() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
             seen: dict[str, int] = {}
@@ -126,7 +129,7 @@
 
             for number in range(6):
                 node = cluster.nodes["entry-0"]
-                outcome = await node.config.change_folder(
+                outcome = await node.config.replace_from_files(
                     [SourceFile("all.yaml", CONFIG)], None
                 )
                 outcome.unwrap()
@@ -138,7 +141,7 @@
                     await asyncio.sleep(0.25)
                     check()
             cluster.links["entry-1"].store_cut = False
-            await asyncio.sleep(IN_FORCE_S)
+            await asyncio.sleep(PROPAGATION_TIMEOUT_S)
             versions = {n.config.document.version for n in cluster.nodes.values()}
             assert len(versions) == 1
 
