--- a/src/fuchsiadale/decision/workflow/preemption.py
+++ b/src/fuchsiadale/decision/workflow/preemption.py
@@ -1,7 +1,7 @@
-"""Chooses runs to stop so that more urgent work finds room.
+"""Selects runs to preempt so that more urgent work gets room.
 
-Answers a burst of urgent work on a full pool. Only runs that resume from a checkpoint
-are stopped: what they lose is the time to restore it.
+Preemption serves bursts of urgent work on a full pool. Only runs that can resume from
+a checkpoint are preempted: what such a run loses is the time to restore it.
 """
 
 from __future__ import annotations
@@ -14,25 +14,27 @@
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 
 NEARLY_DONE_PERCENT = 85
-"""Progress from which a run is left to end by itself."""
+"""Progress in percent from which a run is left to end by itself."""
 
-MIN_RUN_S = 0.2
-"""Age below which a run is not stopped: it would only pay for its restore."""
+MIN_RUN_AGE_S = 0.2
+"""Age in seconds below which a run is not preempted.
 
+Stopping a younger run would waste the time that it took to restore its checkpoint.
+"""
 
-MIN_TRUSTED_PERCENT = 10
-"""Progress from which a run's end is foretold."""
+MIN_EXTRAPOLATION_PERCENT = 10
+"""Progress in percent from which the remaining time of a run is extrapolated."""
 
 FULL_PERCENT = 100
 
 
-class RoomMaker:
-    """Finds room on workers, counting what ends there soon.
+class Preemptor:
+    """Selects runs to preempt and tracks the room that is claimed on workers.
 
     Parameters
     ----------
     queue_of : callable
-        Returns a job's queue.
+        Returns the queue of a job, or None if it is not configured.
     now_s : float
         The time on the loop's clock.
     """
@@ -42,35 +44,45 @@
         self._now_s = now_s
         self._claimed: dict[str, Resources] = {}
         self._victims: dict[str, list[Run]] = {}
-        self._reachable: dict[tuple[str, int | None, float], Resources] = {}
+        self._attainable_room_cache: dict[tuple[str, int | None, float], Resources] = {}
 
     @property
     def claimed_workers(self) -> set[str]:
-        """Workers on which room is being made."""
+        """The ids of the workers on which room was claimed, even if released since."""
         return set(self._claimed)
 
-    def claim(
+    def claim_room(
         self, worker: TrackedWorker, needed: Resources, priority: int
     ) -> list[Run] | None:
         """Claim room for a task on a worker.
 
+        Parameters
+        ----------
+        worker : TrackedWorker
+            The worker.
+        needed : Resources
+            The room that the task takes.
+        priority : int
+            Priority of the task; only runs of less urgent queues are preempted.
+
         Returns
         -------
         victims : list of Run or None
-            Further runs to stop, none if enough ends already; None if stopping
-            everything that may be stopped would not make room.
+            The runs to preempt in addition to those of earlier claims; empty if enough
+            room is or becomes free without them. None if preempting every run that may
+            be preempted would not make enough room.
         """
         worker_id = worker.entry.worker_id
-        chosen = self._victims.get(worker_id, [])
+        earlier_victims = self._victims.get(worker_id, [])
         room = worker.free - self._claimed.get(worker_id, NO_RESOURCES)
         for run in worker.runs.values():
-            if run.state is RunState.STOPPING or run in chosen:
+            if run.state is RunState.STOPPING or run in earlier_victims:
                 room = room + run.task.step.specification.charged
         victims: list[Run] = []
-        for run in self._candidates(worker, priority, chosen):
+        for run in self._list_preemptible_runs(worker, priority, earlier_victims):
             if needed.fits_in(room):
                 break
-            if _helps(run, needed, room):
+            if _frees_scarce_resource(run, needed, room):
                 room = room + run.task.step.specification.charged
                 victims.append(run)
         if not needed.fits_in(room):
@@ -80,57 +92,74 @@
         self._victims.setdefault(worker_id, []).extend(victims)
         return victims
 
-    def reachable(
+    def find_attainable_room(
         self, worker: TrackedWorker, priority: int | None, horizon_s: float
     ) -> Resources:
-        """Return the room that a worker can have within some time.
+        """Return the room that a worker can offer within some time.
 
-        It is worked out once a plan and not lowered by what the plan places.
+        The result is cached for the planning pass, so tasks that the pass places later
+        do not lower it.
 
         Parameters
         ----------
         worker : TrackedWorker
             The worker.
         priority : int or None
-            Whose sake runs may be stopped for; None to stop none.
+            Priority of the work that may preempt runs; None for no preemption.
         horizon_s : float
-            Seconds within which runs that end by themselves count as ended.
+            Time in seconds; runs that are expected to end within it count as ended.
+
+        Returns
+        -------
+        room : Resources
+            Free room, plus that of runs which are stopping, preemptible or ending soon.
         """
         key = (worker.entry.worker_id, priority, horizon_s)
-        known = self._reachable.get(key)
-        if known is not None:
-            return known
+        cached = self._attainable_room_cache.get(key)
+        if cached is not None:
+            return cached
         room = worker.free - self._claimed.get(worker.entry.worker_id, NO_RESOURCES)
         for run in worker.runs.values():
             is_stopping = run.state is RunState.STOPPING
-            may_stop = priority is not None and self._may_stop(run, priority)
-            ends_soon = remaining_s(run, self._now_s) <= horizon_s
-            if is_stopping or may_stop or ends_soon:
+            may_preempt = priority is not None and self._is_preemptible(run, priority)
+            ends_soon = estimate_remaining_s(run, self._now_s) <= horizon_s
+            if is_stopping or may_preempt or ends_soon:
                 room = room + run.task.step.specification.charged
-        self._reachable[key] = room
+        self._attainable_room_cache[key] = room
         return room
 
-    def release(
+    def release_room(
         self, worker: TrackedWorker, needed: Resources, victims: list[Run]
     ) -> None:
-        """Give a claim up."""
+        """Undo a claim, so that its room can be claimed again and no run is preempted.
+
+        Parameters
+        ----------
+        worker : TrackedWorker
+            The worker.
+        needed : Resources
+            The room that was claimed.
+        victims : list of Run
+            The runs that the claim chose to preempt.
+        """
         worker_id = worker.entry.worker_id
         self._claimed[worker_id] = self._claimed[worker_id] - needed
         for run in victims:
             self._victims[worker_id].remove(run)
 
-    def _candidates(
-        self, worker: TrackedWorker, priority: int, chosen: list[Run]
+    def _list_preemptible_runs(
+        self, worker: TrackedWorker, priority: int, earlier_victims: list[Run]
     ) -> Iterable[Run]:
         candidates = [
             run
             for run in worker.runs.values()
-            if run not in chosen and self._may_stop(run, priority)
+            if run not in earlier_victims and self._is_preemptible(run, priority)
         ]
+        # Runs with the least progress are preempted first, and of these the youngest.
         candidates.sort(key=lambda run: (run.progress_percent, -run.started_s))
         return candidates
 
-    def _may_stop(self, run: Run, priority: int) -> bool:
+    def _is_preemptible(self, run: Run, priority: int) -> bool:
         specification = run.task.step.specification
         if run.state is not RunState.RUNNING:
             return False
@@ -138,24 +167,38 @@
             return False
         if specification.is_gang or run.progress_percent >= NEARLY_DONE_PERCENT:
             return False
-        if self._now_s - run.started_s < MIN_RUN_S:
+        if self._now_s - run.started_s < MIN_RUN_AGE_S:
             return False
         queue = self._queue_of(run.task.step.job)
         return queue is not None and queue.priority > priority
 
 
-def remaining_s(run: Run, now_s: float) -> float:
-    """Return how long a run will still take by its progress so far, in seconds."""
+def estimate_remaining_s(run: Run, now_s: float) -> float:
+    """Return the remaining time of a run, extrapolated from its progress.
+
+    Parameters
+    ----------
+    run : Run
+        The run.
+    now_s : float
+        The time on the loop's clock.
+
+    Returns
+    -------
+    remaining_s : float
+        Seconds until the run ends; infinite if it is lasting, is not confirmed or has
+        made too little progress.
+    """
     percent = run.progress_percent
     is_lasting = run.task.step.specification.is_lasting
-    if is_lasting or percent < MIN_TRUSTED_PERCENT or run.confirmed_s is None:
+    if is_lasting or percent < MIN_EXTRAPOLATION_PERCENT or run.confirmed_s is None:
         return float("inf")
-    whole_s = (run.last_progress_s - run.confirmed_s) * FULL_PERCENT / percent
-    return max(0.0, run.confirmed_s + whole_s - now_s)
+    total_s = (run.last_progress_s - run.confirmed_s) * FULL_PERCENT / percent
+    return max(0.0, run.confirmed_s + total_s - now_s)
 
 
-def _helps(run: Run, needed: Resources, room: Resources) -> bool:
-    """Tell whether a run takes something that is short."""
+def _frees_scarce_resource(run: Run, needed: Resources, room: Resources) -> bool:
+    """Tell whether stopping a run frees a resource that the task still lacks."""
     charged = run.task.step.specification.charged
     return (
         (needed.cpu_millis > room.cpu_millis and charged.cpu_millis > 0)
--- a/tests/test_workflow_takeover.py
+++ b/tests/test_workflow_takeover.py
@@ -18,7 +18,7 @@
 
 def restore_workers(cell: Cell, runs: dict[str, list[tuple[TaskName, int]]]) -> None:
     """Recover the workers and their recorded runs as a new owner."""
-    cell.scheduler.observe_workers(cell.entries)
+    cell.scheduler.update_registrations(cell.entries)
     for entry in cell.entries:
         worker_id = entry.worker_id
         cell.running.setdefault(worker_id, {})
@@ -72,12 +72,12 @@
     cell.scheduler.recover(make_record(1), None, 0.0)
     recorded_task = first_task_name(cell, 0)
     restore_workers(cell, {"worker-1": [(recorded_task, 3)]})
-    cell.scheduler.note_failure_to_answer("worker-1")
+    cell.scheduler.mark_worker_unresponsive("worker-1")
     cell.poll("worker-0")
     cell.plan_and_execute()
     assert [order.task for order in cell.starts] == [first_task_name(cell, 1)]
     cell.clock.advance(LEASE_LAPSE_S + 0.1)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.plan_and_execute()
     assert cell.starts[-1].task == recorded_task
     assert cell.starts[-1].run > 3
@@ -107,9 +107,9 @@
 def test_unlisted_unresponsive_worker_without_runs_is_retired():
     cell = Cell(workers=2)
     cell.adopt_workers()
-    cell.scheduler.note_failure_to_answer("worker-1")
-    cell.scheduler.observe_workers(cell.entries[:1])
-    assert cell.scheduler.forget_gone_workers() == ["worker-1"]
+    cell.scheduler.mark_worker_unresponsive("worker-1")
+    cell.scheduler.update_registrations(cell.entries[:1])
+    assert cell.scheduler.remove_gone_workers() == ["worker-1"]
     assert cell.scheduler.retired_workers == {"worker-1"}
 
 
@@ -121,15 +121,15 @@
     assert len(cell.starts) == 4
     for task, run in list(cell.running["worker-1"]):
         cell.end_run("worker-1", task, run)
-    cell.scheduler.note_lease("worker-0", cell.clock.now() + 6.0)
-    cell.scheduler.note_failure_to_answer("worker-0")
+    cell.scheduler.extend_lease("worker-0", cell.clock.now() + 6.0)
+    cell.scheduler.mark_worker_unresponsive("worker-0")
     cell.clock.advance(5.9)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.poll("worker-1")
     cell.plan_and_execute()
     assert len(cell.starts) == 4
     cell.clock.advance(0.2)
-    cell.scheduler.check_time()
+    cell.scheduler.check_timeouts()
     cell.plan_and_execute()
     assert len(cell.starts) == 6
     assert {order.worker_id for order in cell.starts[4:]} == {"worker-1"}
@@ -167,15 +167,15 @@
     index = int(drained_worker[-1])
     draining = make_entry(index, state=WorkerState.DRAINING, remaining_s=2.0)
     entries = [make_entry(1 - index), draining]
-    cell.scheduler.observe_workers(entries)
+    cell.scheduler.update_registrations(entries)
     cell.scheduler.accept(make_record(1, make_step(1)), 0.0)
     cell.plan_and_execute()
     assert cell.starts[-1].worker_id != drained_worker
-    cell.execute(cell.scheduler.check_time())
+    cell.execute(cell.scheduler.check_timeouts())
     assert cell.stops == []
     cell.clock.advance(1.5)
-    cell.scheduler.observe_workers(entries)
-    cell.execute(cell.scheduler.check_time())
+    cell.scheduler.update_registrations(entries)
+    cell.execute(cell.scheduler.check_timeouts())
     assert len(cell.stops) == 4
     cell.poll(drained_worker)
     cell.plan_and_execute()
--- a/tests/workflow_simulation.py
+++ b/tests/workflow_simulation.py
@@ -132,7 +132,7 @@
             )
         for job_id in self.cancelled_jobs:
             self.scheduler.cancel(job_id)
-        self.scheduler.observe_workers(self.entries.values())
+        self.scheduler.update_registrations(self.entries.values())
         self.unsent_starts = []
         recorded_lease_end_s = self.clock.now() + LEASE_LAPSE_S
         for worker_id in self.scheduler.workers:
@@ -157,7 +157,7 @@
             if not self.scheduler.is_start_needed(order):
                 continue
             if self.scheduler.is_start_recorded(order):
-                self.scheduler.note_lease(order.worker_id, now + LEASE_LAPSE_S)
+                self.scheduler.extend_lease(order.worker_id, now + LEASE_LAPSE_S)
                 self.sent_orders.append(SentOrder(self.epoch, order, now + LEASE_S))
             else:
                 self.unsent_starts.append(order)
@@ -175,7 +175,7 @@
 
     def plan(self) -> None:
         """Let the owner process elapsed time, and plan."""
-        self.send_orders(self.scheduler.check_time())
+        self.send_orders(self.scheduler.check_timeouts())
         self.send_orders(self.planner.plan(LANES))
 
     def record_progress(self) -> None:
@@ -198,7 +198,7 @@
         worker = self.workers[worker_id]
         now = self.clock.now()
         tracked_worker = self.scheduler.workers[worker_id]
-        self.scheduler.note_lease(worker_id, now + LEASE_LAPSE_S)
+        self.scheduler.extend_lease(worker_id, now + LEASE_LAPSE_S)
         if worker.highest_epoch > self.epoch:
             return
         worker.highest_epoch = self.epoch
@@ -220,7 +220,7 @@
                 if end.sequence_number > last_acknowledged_end
             ]
         if not is_answered:
-            self.scheduler.note_failure_to_answer(worker_id)
+            self.scheduler.mark_worker_unresponsive(worker_id)
             return
         reported_runs = tuple(
             ReportedRun(task, run, checkpoint, 10, 1.0)
@@ -230,7 +230,7 @@
             worker.incarnation_started_ms, 0, reported_runs, tuple(worker.listed_ends)
         )
         self.clock.advance(0.001)
-        self.send_orders(self.scheduler.note_report(worker_id, report, now))
+        self.send_orders(self.scheduler.process_report(worker_id, report, now))
 
     # Delivery of orders
 
