--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -9,12 +9,12 @@
 from eliot import log_message
 from result import Err
 
-from fuchsiadale.cell.answer_losses import AnswerLosses
 from fuchsiadale.cell.boot_clock import unix_time_s
 from fuchsiadale.cell.committer import STOP_AFTER_S, Committer, ProcessedEnd
 from fuchsiadale.cell.job_watch import JobWatch
 from fuchsiadale.cell.metrics import CellMetrics
 from fuchsiadale.cell.owner_ports import OwnerPorts
+from fuchsiadale.cell.reply_loss_tracker import AnswerLosses
 from fuchsiadale.cell.rows import (
     CANCEL_SUFFIX,
     OwnerRow,
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -9,7 +9,7 @@
 from attrs import define
 from result import Err
 
-from fuchsiadale.cell.answer_losses import AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import AnswerLosses
 from fuchsiadale.decision.workflow.messages import (
     PaceRun,
     StartOutcome,
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.cell.answer_losses import MEMORY_S, SHORT_WAIT_S, AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import MEMORY_S, SHORT_WAIT_S, AnswerLosses
 from fuchsiadale.cell.worker_link import (
     LOOK_WAIT_S,
     LinkEvents,
