--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -37,7 +37,7 @@
         self._paused_until_s: dict[str, float] = {}
 
     @property
-    def lanes(self) -> int:
+    def usable_lane_count(self) -> int:
         """Calls that can be under way at once."""
         return len(self._advisors) - len(self._paused())
 
@@ -45,7 +45,7 @@
         """Use these peers' lanes beside this process's own."""
         self._advisors = {"": self._advisors[""], **advisors}
 
-    async def ask(self, order: RequestAdvice) -> Advice | None:
+    async def request_advice(self, order: RequestAdvice) -> Advice | None:
         """Return the advice, or None if none came."""
         lane = self._idle_lane()
         if lane is None:
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -20,10 +20,10 @@
 from fuchsiadale.cell.ownership import Ownership, Taking
 from fuchsiadale.cell.peers import (
     JobView,
-    OwnerStanding,
+    PeerCallbacks,
     PeerClient,
-    PeerHandler,
-    serve_peers,
+    PeerStatus,
+    start_peer_server,
 )
 from fuchsiadale.cell.rows import load_cell
 from fuchsiadale.cell.terms import CellTerms
@@ -138,10 +138,10 @@
 
     async def start(self) -> None:
         """Begin to answer peers and to follow the owner."""
-        handler = PeerHandler(
+        handler = PeerCallbacks(
             self._sync, self._show_job, self._take_hint, self._systems.advisor
         )
-        self._server = await serve_peers(handler, self._identity.peer_address)
+        self._server = await start_peer_server(handler, self._identity.peer_address)
         self._supervisor.start("configuration", self._configuration.run)
         self._supervisor.start("ownership", self._ownership.run)
         self._supervisor.start("lanes", self._refresh_lanes)
@@ -245,7 +245,7 @@
 
     def _sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
-    ) -> OwnerStanding:
+    ) -> PeerStatus:
         now_s = asyncio.get_running_loop().time()
         if is_leaving:
             self._peer_seen_s.pop(address, None)
@@ -254,10 +254,10 @@
         self._ownership.note_epoch(epoch)
         return self._standing()
 
-    def _standing(self) -> OwnerStanding:
+    def _standing(self) -> PeerStatus:
         ownership, owner = self._ownership, self._owner
         if owner is not None:
-            return OwnerStanding(
+            return PeerStatus(
                 ownership.incarnation,
                 True,
                 owner.epoch,
@@ -266,7 +266,7 @@
                 owner.cannot_renew,
             )
         # A process that has taken the cell owns it while it still reads the store.
-        return OwnerStanding(
+        return PeerStatus(
             ownership.incarnation,
             ownership.is_owner,
             ownership.epoch,
--- a/src/fuchsiadale/cell/event_log.py
+++ b/src/fuchsiadale/cell/event_log.py
@@ -12,7 +12,7 @@
 
 STDOUT = 1
 
-MAX_LINES = 5_000
+MAX_QUEUED_LINES = 5_000
 """Lines that wait for a slow output; about 1 MB."""
 
 MAX_LINES_PER_S = 1_000
@@ -40,23 +40,23 @@
         self._node = node
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
-        self._partial = b""
+        self._unwritten = b""
         self._dropped = 0
         self._in_second = 0
 
     @property
-    def waiting(self) -> int:
+    def queued_line_count(self) -> int:
         """Lines that the output has not taken yet."""
         return len(self._lines)
 
     def install(self) -> None:
         """Receive every message that eliot is given."""
         os.set_blocking(self._descriptor, False)
-        eliot.add_destinations(self.take)
+        eliot.add_destinations(self.enqueue)
 
-    def take(self, message: dict[str, Any]) -> None:
+    def enqueue(self, message: dict[str, Any]) -> None:
         """Keep a message until it can be written, or count it as dropped."""
-        if len(self._lines) >= MAX_LINES or self._in_second >= MAX_LINES_PER_S:
+        if len(self._lines) >= MAX_QUEUED_LINES or self._in_second >= MAX_LINES_PER_S:
             self._dropped += 1
             return
         self._in_second += 1
@@ -78,16 +78,16 @@
                 passed += 1
                 if passed * FLUSH_S >= 1.0:
                     passed = 0
-                    self._report_dropped()
+                    self._log_dropped_lines()
                 self.flush()
         finally:
             self.flush()
 
     def flush(self) -> None:
         """Write as much as the output takes now."""
-        while self._partial or self._lines:
-            size = len(self._partial)
-            chunk = [self._partial] if self._partial else []
+        while self._unwritten or self._lines:
+            size = len(self._unwritten)
+            chunk = [self._unwritten] if self._unwritten else []
             while self._lines and size < MAX_WRITE_BYTES:
                 chunk.append(self._lines.popleft())
                 size += len(chunk[-1])
@@ -95,13 +95,13 @@
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
-                self._partial = data
+                self._unwritten = data
                 return
-            self._partial = data[written:]
-            if self._partial:
+            self._unwritten = data[written:]
+            if self._unwritten:
                 return
 
-    def _report_dropped(self) -> None:
+    def _log_dropped_lines(self) -> None:
         self._in_second = 0
         if self._dropped:
             dropped, self._dropped = self._dropped, 0
--- a/src/fuchsiadale/cell/explain.py
+++ b/src/fuchsiadale/cell/explain.py
@@ -82,7 +82,7 @@
         return None
 
 
-def story_of(job_id: str, lines: Iterable[str]) -> list[LogLine]:
+def collect_job_events(job_id: str, lines: Iterable[str]) -> list[LogLine]:
     """Return what happened to a job, and around it, in order of time."""
     parsed = [line for line in map(parse_line, lines) if line is not None]
     own = [line for line in parsed if line.fields.get("job") == job_id]
--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -47,7 +47,7 @@
 
 
 @frozen
-class Call:
+class CallerRequest:
     """One call of a caller.
 
     Attributes
@@ -62,7 +62,7 @@
 
     host: str
     path: str
-    key: str
+    api_key: str
 
 
 @frozen
@@ -74,7 +74,7 @@
     name: str
 
 
-class OwnedCell(Protocol):
+class LocalOwner(Protocol):
     """What the gateway needs of an owner in the same process."""
 
     def take_row(self, key: str, value: bytes) -> None:
@@ -110,7 +110,7 @@
         configuration: ConfigurationWatch,
         store: RowStore,
         ownership: Ownership,
-        owned: Callable[[], OwnedCell | None],
+        owned: Callable[[], LocalOwner | None],
         show_owned: Callable[[str], JobView | None],
         notify: Callable[[str, bytes], None],
         key_trust_s: float,
@@ -124,7 +124,7 @@
         self._notify = notify
 
     async def submit(
-        self, call: Call, specification: Result[JobSpecification, str]
+        self, call: CallerRequest, specification: Result[JobSpecification, str]
     ) -> Result[None, Refusal]:
         """Accept a job once it is stored."""
         right = self._authorize(call)
@@ -144,7 +144,7 @@
         )
         return await self._store_job(record)
 
-    async def show(self, call: Call) -> Result[JobState, Refusal]:
+    async def get_job_state(self, call: CallerRequest) -> Result[JobState, Refusal]:
         """Return a job's state."""
         right = self._authorize(call)
         if isinstance(right, Err):
@@ -157,7 +157,7 @@
             return _refuse(ErrorKind.FORBIDDEN, "the job is another workspace's")
         return Ok(view.ok_value.state)
 
-    async def cancel(self, call: Call) -> Result[None, Refusal]:
+    async def cancel(self, call: CallerRequest) -> Result[None, Refusal]:
         """Cancel a job; it is stored before the answer."""
         right = self._authorize(call)
         if isinstance(right, Err):
@@ -178,7 +178,7 @@
         self._hand_over(key, b"1")
         return Ok(None)
 
-    async def count_pending(self, call: Call) -> Result[int, Refusal]:
+    async def count_pending(self, call: CallerRequest) -> Result[int, Refusal]:
         """Return how many jobs of a queue have started nothing."""
         right = self._authorize(call)
         if isinstance(right, Err):
@@ -193,7 +193,7 @@
             return _refuse(ErrorKind.NO_OWNER, "no owner has told the counts lately")
         return Ok(standing.pending.get(queue, 0))
 
-    def is_count(self, call: Call) -> bool:
+    def is_queue_path(self, call: CallerRequest) -> bool:
         """Tell whether a call names a queue and no job."""
         configuration = self._configuration.current
         if configuration is None:
@@ -201,7 +201,7 @@
         queue = configuration.find_queue(call.host, call.path)
         return queue is not None and queue.path_prefix == call.path
 
-    def _authorize(self, call: Call) -> Result[_Right, Refusal]:
+    def _authorize(self, call: CallerRequest) -> Result[_Right, Refusal]:
         configuration = self._configuration.current
         age_s = self._configuration.age_s
         if configuration is None:
@@ -211,7 +211,7 @@
             if age_s > self._key_trust_s:
                 return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
             return _refuse(ErrorKind.NOT_FOUND, "no such queue")
-        workspace = configuration.find_workspace_by_key(call.key)
+        workspace = configuration.find_workspace_by_key(call.api_key)
         if not queue.is_public:
             if age_s > self._key_trust_s:
                 return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -14,7 +14,7 @@
 from fuchsiadale.cell.job_watch import JobWatch
 from fuchsiadale.cell.metrics import CellMetrics
 from fuchsiadale.cell.owner_ports import OwnerPorts
-from fuchsiadale.cell.reply_loss_tracker import AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import ReplyLossTracker
 from fuchsiadale.cell.rows import (
     CANCEL_SUFFIX,
     OwnerRow,
@@ -23,7 +23,7 @@
     is_cancel_key,
 )
 from fuchsiadale.cell.terms import CellTerms
-from fuchsiadale.cell.worker_link import LinkEvents, WorkerLink, lapse_after_s
+from fuchsiadale.cell.worker_link import LinkCallbacks, WorkerLink, lease_expiry_delay_s
 from fuchsiadale.codec import decode
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
 from fuchsiadale.decision.workflow.jobs import Job
@@ -111,7 +111,7 @@
         )
         self._supervisor = Supervisor("owner")
         self._links: dict[str, WorkerLink] = {}
-        self._losses = AnswerLosses()
+        self._losses = ReplyLossTracker()
         self._calls: set[asyncio.Task[None]] = set()
         self._plan_due = asyncio.Event()
         self._unsent: list[StartRun] = []
@@ -189,7 +189,7 @@
     @property
     def _predecessor_lease_s(self) -> float:
         """Seconds after its last order in which a predecessor's runs have ended."""
-        return lapse_after_s(self._terms.max_lease_s) + TAKEOVER_MARGIN_S
+        return lease_expiry_delay_s(self._terms.max_lease_s) + TAKEOVER_MARGIN_S
 
     async def stop(self) -> None:
         """Stop giving orders at once."""
@@ -238,7 +238,7 @@
             await asyncio.sleep(max(PLAN_DELAY_S, PLAN_REST * duration_s))
             self._plan_due.clear()
             started_s = loop.time()
-            self._carry_out(self._planner.plan(self._ports.advice.lanes))
+            self._carry_out(self._planner.plan(self._ports.advice.usable_lane_count))
             duration_s = loop.time() - started_s
             self._metrics.plan_seconds.observe(duration_s)
             self._log_decisions()
@@ -278,7 +278,7 @@
                 WorkerAddress(entry.worker_id, entry.address),
                 self.epoch,
                 self._terms.max_lease_s,
-                LinkEvents(
+                LinkCallbacks(
                     self._note_report,
                     self._scheduler.mark_worker_unresponsive,
                     self._note_replaced,
@@ -292,7 +292,7 @@
         for worker_id in self._scheduler.remove_gone_workers():
             self._links.pop(worker_id, None)
             self._supervisor.end(f"worker/{worker_id}")
-        self._losses.workers = len(self._links)
+        self._losses.worker_count = len(self._links)
         self._committer.wake()
 
     # Events
@@ -300,7 +300,7 @@
     def _note_report(self, worker_id: str, report: WorkerReport, sent_s: float) -> None:
         known = self._scheduler.workers.get(worker_id)
         if known is not None and known.started_ms not in (0, report.started_ms):
-            self._links[worker_id].forget_ends()
+            self._links[worker_id].reset_ends()
         orders = self._scheduler.process_report(worker_id, report, sent_s)
         self._carry_out(orders)
         if known is not None:
@@ -398,12 +398,12 @@
     async def _pace(self, order: PaceRun) -> None:
         link = self._links.get(order.worker_id)
         if link is not None:
-            await link.pace(order)
+            await link.set_pace(order)
 
     async def _ask(self, order: RequestAdvice) -> None:
         advice = None
         try:
-            advice = await self._ports.advice.ask(order)
+            advice = await self._ports.advice.request_advice(order)
         finally:
             tickets = None if advice is None else advice.tickets
             valid_s = 0.0 if advice is None else advice.valid_s
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -11,7 +11,7 @@
 from eliot import log_message
 from result import Err, Ok
 
-from fuchsiadale.cell.peers import OwnerStanding, PeerClient
+from fuchsiadale.cell.peers import PeerClient, PeerStatus
 from fuchsiadale.cell.rows import (
     OwnerRow,
     StoredOwner,
@@ -93,7 +93,7 @@
         self._on_superseded = on_superseded
         self._owner: OwnerRow | None = None
         self._client: PeerClient | None = None
-        self._standing: OwnerStanding | None = None
+        self._standing: PeerStatus | None = None
         self._standing_s = 0.0
         self._is_owner = False
         self._taken_s = 0.0
@@ -120,7 +120,7 @@
         return None if self._is_owner else self._client
 
     @property
-    def owner_standing(self) -> OwnerStanding | None:
+    def owner_standing(self) -> PeerStatus | None:
         """What the owner last said of itself."""
         return self._standing
 
@@ -190,7 +190,9 @@
         )
         if standing is None:
             log_message("owner_silent", owner=owner.node, epoch=owner.epoch)
-            await self._suspect(owner, REFUSED_S if client.is_refused else UNCHANGED_S)
+            await self._suspect(
+                owner, REFUSED_S if client.is_connection_refused else UNCHANGED_S
+            )
             return
         if standing.epoch > owner.epoch:
             self._owner = None
@@ -208,7 +210,7 @@
         if standing.renewed_age_s > STALE_RENEWAL_S:
             await self._suspect(owner, STALE_S)
             return
-        await client.wait_lost(SYNC_S)
+        await client.wait_for_disconnect(SYNC_S)
         await asyncio.sleep(RECONNECT_S)
 
     async def _suspect(self, owner: OwnerRow, unchanged_s: float) -> None:
--- a/src/fuchsiadale/cell/peers.py
+++ b/src/fuchsiadale/cell/peers.py
@@ -40,7 +40,7 @@
 NOTIFY_TIMEOUT_S = 0.5
 """Seconds given to a hint; the watch brings the row in any case."""
 
-OPTIONS = [
+GRPC_OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
     ("grpc.keepalive_timeout_ms", 1000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -58,7 +58,7 @@
 
 
 @frozen
-class OwnerStanding:
+class PeerStatus:
     """What a process says of itself.
 
     Attributes
@@ -93,7 +93,7 @@
     workspace: str
 
 
-class PeerHandler:
+class PeerCallbacks:
     """What a process does for its peers.
 
     Parameters
@@ -110,15 +110,15 @@
 
     def __init__(
         self,
-        sync: Callable[[str, str, int, bool], OwnerStanding],
+        sync: Callable[[str, str, int, bool], PeerStatus],
         show_job: Callable[[str], tuple[bool, JobView | None]],
         notify: Callable[[str, bytes], bool],
-        advisor: AdviceClient,
+        advice_client: AdviceClient,
     ) -> None:
         self.sync = sync
         self.show_job = show_job
         self.notify = notify
-        self.advisor = advisor
+        self.advice_client = advice_client
 
 
 class CellService(CellServicer):  # type: ignore[misc]
@@ -130,7 +130,7 @@
         What is done for them.
     """
 
-    def __init__(self, handler: PeerHandler) -> None:
+    def __init__(self, handler: PeerCallbacks) -> None:
         self._handler = handler
 
     async def Sync(  # noqa: N802
@@ -173,7 +173,7 @@
     ) -> AdviseReply:
         """Ask the advice service from this machine."""
         job_id, occurrence, step = request.step.rsplit(".", 2)
-        advice = await self._handler.advisor.request_advice(
+        advice = await self._handler.advice_client.request_advice(
             StepName(job_id, int(occurrence), int(step)),
             tuple(request.worker_ids),
             request.timeout_s,
@@ -196,7 +196,7 @@
         return NotifyReply(is_owner=self._handler.notify(request.key, request.value))
 
 
-async def serve_peers(handler: PeerHandler, address: str) -> grpc.aio.Server:
+async def start_peer_server(handler: PeerCallbacks, address: str) -> grpc.aio.Server:
     """Begin to answer peers.
 
     Raises
@@ -204,7 +204,7 @@
     RuntimeError
         If the address cannot be listened on.
     """
-    server = grpc.aio.server(options=OPTIONS)
+    server = grpc.aio.server(options=GRPC_OPTIONS)
     add_CellServicer_to_server(CellService(handler), server)
     server.add_insecure_port(address)
     await server.start()
@@ -231,13 +231,13 @@
         return self._address
 
     @property
-    def is_refused(self) -> bool:
+    def is_connection_refused(self) -> bool:
         """Whether the last call ended because nothing listens at the address."""
         return self._is_refused
 
     async def sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
-    ) -> OwnerStanding | None:
+    ) -> PeerStatus | None:
         """Exchange what is known of the owner; None without an answer."""
         request = SyncRequest(
             node=node, address=address, epoch=epoch, is_leaving=is_leaving
@@ -246,7 +246,7 @@
         if reply is None:
             return None
         pending = {item.queue: item.pending for item in reply.counts}
-        return OwnerStanding(
+        return PeerStatus(
             reply.incarnation,
             reply.is_owner,
             reply.epoch,
@@ -255,7 +255,7 @@
             reply.cannot_renew,
         )
 
-    async def wait_lost(self, timeout_s: float) -> None:
+    async def wait_for_disconnect(self, timeout_s: float) -> None:
         """Wait for the connection to end, or for some time."""
         channel = self._channel
         if channel is None:
@@ -299,7 +299,7 @@
 
     async def _call(self, name: str, request: Any, timeout_s: float) -> Any:
         if self._channel is None:
-            self._channel = grpc.aio.insecure_channel(self._address, OPTIONS)
+            self._channel = grpc.aio.insecure_channel(self._address, GRPC_OPTIONS)
         channel = self._channel
         try:
             reply = await getattr(CellStub(channel), name)(request, timeout=timeout_s)
--- a/src/fuchsiadale/cell/reply_loss_tracker.py
+++ b/src/fuchsiadale/cell/reply_loss_tracker.py
@@ -4,17 +4,17 @@
 
 import asyncio
 
-MEMORY_S = 4.0
+LOSS_MEMORY_S = 4.0
 """Seconds for which one lost answer counts; losses come in spells of some seconds."""
 
-SHORT_WAIT_S = 0.2
+SHORT_POLL_WAIT_S = 0.2
 """Seconds that a look waits then; bounds how long an end goes unnoticed."""
 
 SHORT_LOOKS_PER_S = 100.0
 """Looks a second over all workers that are worth it; a tenth of a small core."""
 
 
-class AnswerLosses:
+class ReplyLossTracker:
     """Tells how long looks should wait while answers of workers are being lost.
 
     Attributes
@@ -24,17 +24,19 @@
     """
 
     def __init__(self) -> None:
-        self.workers = 0
+        self.worker_count = 0
         self._lost_s: float | None = None
 
     def limit_wait_s(self, wait_s: float) -> float:
         """Return how long to wait instead of `wait_s`, in seconds."""
         if self._lost_s is None:
             return wait_s
-        if asyncio.get_running_loop().time() - self._lost_s > MEMORY_S:
+        if asyncio.get_running_loop().time() - self._lost_s > LOSS_MEMORY_S:
             return wait_s
-        return min(wait_s, max(SHORT_WAIT_S, self.workers / SHORT_LOOKS_PER_S))
+        return min(
+            wait_s, max(SHORT_POLL_WAIT_S, self.worker_count / SHORT_LOOKS_PER_S)
+        )
 
-    def note(self) -> None:
+    def record_loss(self) -> None:
         """Note that an answer did not come."""
         self._lost_s = asyncio.get_running_loop().time()
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -9,7 +9,7 @@
 from attrs import define
 from result import Err
 
-from fuchsiadale.cell.reply_loss_tracker import AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import ReplyLossTracker
 from fuchsiadale.decision.workflow.messages import (
     PaceRun,
     StartOutcome,
@@ -29,7 +29,7 @@
 LEASE_S = 4.5
 """Lease of what runs: bears a takeover of 3 s, and bounds the wait for the silent."""
 
-LOOK_WAIT_S = 0.8
+POLL_WAIT_S = 0.8
 """Seconds that a look waits for an end; below a checkpoint's interval of 1 s."""
 
 IDLE_LOOK_WAIT_S = 2.0
@@ -56,7 +56,7 @@
 MS_PER_S = 1000.0
 
 
-def lapse_after_s(max_lease_s: float) -> float:
+def lease_expiry_delay_s(max_lease_s: float) -> float:
     """Return after how many seconds a lease given by an owner has surely ended."""
     return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
 
@@ -86,21 +86,21 @@
         return self.received_s + left_s / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
 
 
-class LinkEvents:
+class LinkCallbacks:
     """What a link tells its owner."""
 
     def __init__(
         self,
         on_report: Callable[[str, WorkerReport, float], None],
-        on_silence: Callable[[str], None],
+        on_unresponsive: Callable[[str], None],
         on_replaced: Callable[[str], None],
-        on_lease: Callable[[str, float], None],
+        on_lease_extended: Callable[[str, float], None],
         on_fenced: Callable[[str], None],
     ) -> None:
         self.on_report = on_report
-        self.on_silence = on_silence
+        self.on_unresponsive = on_unresponsive
         self.on_replaced = on_replaced
-        self.on_lease = on_lease
+        self.on_lease_extended = on_lease_extended
         self.on_fenced = on_fenced
 
 
@@ -129,8 +129,8 @@
         address: WorkerAddress,
         epoch: int,
         max_lease_s: float,
-        events: LinkEvents,
-        losses: AnswerLosses,
+        events: LinkCallbacks,
+        losses: ReplyLossTracker,
     ) -> None:
         self._losses = losses
         self._is_silent = False
@@ -156,7 +156,7 @@
         self._acknowledged = end
         self._recorded.set()
 
-    def forget_ends(self) -> None:
+    def reset_ends(self) -> None:
         """Begin to count ends anew, for a new life of the worker."""
         self._acknowledged = 0
         self._listed = 0
@@ -199,7 +199,7 @@
                 self._events.on_fenced(self.worker_id)
             if answer.outcome is StartOutcome.UNKNOWN:
                 is_unknown = True
-                self._losses.note()
+                self._losses.record_loss()
             elif answer.outcome is StartOutcome.STARTED or not is_unknown:
                 return answer.outcome
             else:
@@ -218,7 +218,7 @@
             return outcome.err_value is CallFailure.OTHER_BOOT
         return True
 
-    async def pace(self, order: PaceRun) -> None:
+    async def set_pace(self, order: PaceRun) -> None:
         """Send an order to work at a share of full speed."""
         await self._workers.set_pace(
             self._address,
@@ -231,7 +231,7 @@
 
     async def _look(self) -> bool:
         has_backlog = self._listed > self._acknowledged
-        wait_s = LOOK_WAIT_S if self.is_busy else IDLE_LOOK_WAIT_S
+        wait_s = POLL_WAIT_S if self.is_busy else IDLE_LOOK_WAIT_S
         if self.is_busy:
             wait_s = self._losses.limit_wait_s(wait_s)
         if self._clock is None or has_backlog or self._is_silent:
@@ -253,14 +253,18 @@
         was_new = self._clock is None
         self._clock = WorkerClock(report.clock_ms, now_s)
         if lease_end_ms is not None:
-            self._events.on_lease(self.worker_id, self._clock.lapse_s(lease_end_ms))
+            self._events.on_lease_extended(
+                self.worker_id, self._clock.lapse_s(lease_end_ms)
+            )
         self._started_ms = report.started_ms
         self._listed = max((end.sequence_number for end in report.ended), default=0)
         self._listed = max(self._listed, self._acknowledged)
         self._events.on_report(self.worker_id, report, sent_s)
         if was_new and report.running:
             # What a former owner started holds a lease that it gave.
-            self._events.on_lease(self.worker_id, now_s + lapse_after_s(self._lease_s))
+            self._events.on_lease_extended(
+                self.worker_id, now_s + lease_expiry_delay_s(self._lease_s)
+            )
             return await self._look()
         return True
 
@@ -271,9 +275,9 @@
             self._events.on_replaced(self.worker_id)
         else:
             if failure is CallFailure.NO_ANSWER and not self._is_silent:
-                self._losses.note()
+                self._losses.record_loss()
             self._is_silent = True
-            self._events.on_silence(self.worker_id)
+            self._events.on_unresponsive(self.worker_id)
 
     def _renewed_until(self) -> int | None:
         """Return the end of a lease given now, after noting it."""
@@ -281,5 +285,7 @@
             return None
         now_s = asyncio.get_running_loop().time()
         lease_end_ms = self._clock.lease_end_ms(now_s, self._lease_s)
-        self._events.on_lease(self.worker_id, self._clock.lapse_s(lease_end_ms))
+        self._events.on_lease_extended(
+            self.worker_id, self._clock.lapse_s(lease_end_ms)
+        )
         return lease_end_ms
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -7,7 +7,7 @@
 
 import click
 
-from fuchsiadale.cell.explain import story_of
+from fuchsiadale.cell.explain import collect_job_events
 from fuchsiadale.cli.exits import ExitCode
 from fuchsiadale.cli.output import fail
 
@@ -21,7 +21,7 @@
     Reads standard input if no log is named.
     """
     lines = [line for log in logs or (sys.stdin,) for line in log]
-    story = story_of(job_id, lines)
+    story = collect_job_events(job_id, lines)
     if not story:
         fail(f"no line names job {job_id}", ExitCode.REFUSED)
     for line in story:
--- a/src/fuchsiadale/platform/ingress.py
+++ b/src/fuchsiadale/platform/ingress.py
@@ -9,7 +9,7 @@
 from eliot import log_message
 from result import Err, Result
 
-from fuchsiadale.cell.gateway import Call, Gateway
+from fuchsiadale.cell.gateway import CallerRequest, Gateway
 from fuchsiadale.cell.metrics import CellMetrics
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.workflow.jobs import JobState
@@ -86,7 +86,9 @@
         self, request: web.BaseRequest
     ) -> Result[dict[str, object], Refusal]:
         host = request.headers.get("Host", "").partition(":")[0]
-        call = Call(host, request.path, request.headers.get(API_KEY_HEADER, ""))
+        call = CallerRequest(
+            host, request.path, request.headers.get(API_KEY_HEADER, "")
+        )
         gateway = self._gateway
         if request.method == "POST":
             body = await request.read()
@@ -95,10 +97,10 @@
         if request.method == "DELETE":
             return (await gateway.cancel(call)).map(lambda _: {})
         if request.method == "GET":
-            if gateway.is_count(call):
+            if gateway.is_queue_path(call):
                 counted = await gateway.count_pending(call)
                 return counted.map(lambda count: {"pending": count})
-            shown = await gateway.show(call)
+            shown = await gateway.get_job_state(call)
             return shown.map(lambda state: {"state": _STATE_NAMES[state]})
         return Err(
             Refusal(
--- a/tests/test_cell_explain.py
+++ b/tests/test_cell_explain.py
@@ -5,7 +5,7 @@
 import orjson
 from click.testing import CliRunner
 
-from fuchsiadale.cell.explain import story_of
+from fuchsiadale.cell.explain import collect_job_events
 from fuchsiadale.cli.main import main
 from fuchsiadale.decision.workflow.decisions import Decision
 from fuchsiadale.decision.workflow.messages import EndKind
@@ -32,7 +32,7 @@
 
 def events(cell: Cell) -> list[str]:
     decisions, _ = cell.scheduler.decisions.pop_all()
-    return [line.event for line in story_of(JOB, lines_of(decisions))]
+    return [line.event for line in collect_job_events(JOB, lines_of(decisions))]
 
 
 def test_job_that_failed_shows_each_failed_run_and_where():
@@ -70,7 +70,7 @@
     cell.plan_and_execute()
     cell.scheduler.preempt(cell.scheduler.jobs[JOB].tasks()[0].runs[0])
     decisions, _ = cell.scheduler.decisions.pop_all()
-    story = story_of(JOB, lines_of(decisions))
+    story = collect_job_events(JOB, lines_of(decisions))
     assert story[-1].fields["reason"] == "preempted"
 
 
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from fuchsiadale.cell.configuration_watch import ConfigurationWatch
-from fuchsiadale.cell.gateway import Call, Gateway
+from fuchsiadale.cell.gateway import CallerRequest, Gateway
 from fuchsiadale.cell.ownership import Ownership
 from fuchsiadale.cell.rows import JOB_TABLE, PROGRESS_TABLE
 from fuchsiadale.cell.terms import CellTerms
@@ -78,7 +78,7 @@
     async def submit(self, path: str = PATH, key: str = "key") -> ErrorKind | None:
         """Submit a job; return why it was refused, if it was."""
         outcome = await self.gateway.submit(
-            Call("host", path, key), Ok(JOB.specification)
+            CallerRequest("host", path, key), Ok(JOB.specification)
         )
         return kind_of(outcome)
 
@@ -180,12 +180,12 @@
     async def main() -> None:
         front = Front()
         await front.start()
-        call = Call("host", PATH, "key")
-        assert kind_of(await front.gateway.show(call)) is ErrorKind.NO_SUCH_JOB
+        call = CallerRequest("host", PATH, "key")
+        assert kind_of(await front.gateway.get_job_state(call)) is ErrorKind.NO_SUCH_JOB
         await front.submit()
-        assert (await front.gateway.show(call)).unwrap() is JobState.QUEUED
+        assert (await front.gateway.get_job_state(call)).unwrap() is JobState.QUEUED
         assert isinstance(await front.gateway.cancel(call), Ok)
-        assert (await front.gateway.show(call)).unwrap() is JobState.CANCELLED
+        assert (await front.gateway.get_job_state(call)).unwrap() is JobState.CANCELLED
         assert front.hints == [JOB.job_id, f"{JOB.job_id}/cancel"]
 
     run_virtually(main())
@@ -198,7 +198,7 @@
         front.store.put(JOB_TABLE, JOB.job_id, encode(JOB))
         progress = encode(JobProgress(JobState.COMPLETED))
         front.store.put(PROGRESS_TABLE, JOB.job_id, progress)
-        shown = await front.gateway.show(Call("host", PATH, "key"))
+        shown = await front.gateway.get_job_state(CallerRequest("host", PATH, "key"))
         assert shown.unwrap() is JobState.COMPLETED
 
     run_virtually(main())
@@ -208,8 +208,8 @@
     async def main() -> None:
         front = Front()
         await front.start()
-        call = Call("host", "/queue/", "key")
-        assert front.gateway.is_count(call)
+        call = CallerRequest("host", "/queue/", "key")
+        assert front.gateway.is_queue_path(call)
         counted = await front.gateway.count_pending(call)
         assert kind_of(counted) is ErrorKind.NO_OWNER
 
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 from fuchsiadale.cell.ownership import UNCHANGED_S, Ownership, Taking
-from fuchsiadale.cell.peers import OwnerStanding
+from fuchsiadale.cell.peers import PeerStatus
 from fuchsiadale.cell.rows import CONTROL_TABLE, OWNER_KEY, OwnerRow, read_owner
 from fuchsiadale.codec import encode
 from tests.row_store import MemoryRowStore
@@ -21,16 +21,18 @@
     address = OWNER.address
 
     def __init__(self) -> None:
-        self.standing: OwnerStanding | None = None
-        self.is_refused = False
+        self.standing: PeerStatus | None = None
+        self.is_connection_refused = False
         self.lost = asyncio.Event()
 
-    async def sync(self, *args: object) -> OwnerStanding | None:
+    async def sync(self, *args: object) -> PeerStatus | None:
         """Answer, or be silent for a while."""
-        await asyncio.sleep(0.01 if self.standing or self.is_refused else 0.5)
+        await asyncio.sleep(
+            0.01 if self.standing or self.is_connection_refused else 0.5
+        )
         return self.standing
 
-    async def wait_lost(self, timeout_s: float) -> None:
+    async def wait_for_disconnect(self, timeout_s: float) -> None:
         """Wait until the connection ends, or for some time."""
         with suppress(TimeoutError):
             await asyncio.wait_for(self.lost.wait(), timeout_s)
@@ -38,7 +40,7 @@
     def die(self) -> None:
         """End; nothing listens from now on."""
         self.standing = None
-        self.is_refused = True
+        self.is_connection_refused = True
         self.lost.set()
 
     async def close(self) -> None:
@@ -71,9 +73,9 @@
             await asyncio.sleep(0.4)
 
 
-def standing(**changes: object) -> OwnerStanding:
+def standing(**changes: object) -> PeerStatus:
     fields = {"incarnation": "former", "is_owner": True, "epoch": 4, **changes}
-    return OwnerStanding(**fields)  # type: ignore[arg-type]
+    return PeerStatus(**fields)  # type: ignore[arg-type]
 
 
 def test_first_process_takes_a_cell_that_nobody_owns():
--- a/tests/test_cell_peers.py
+++ b/tests/test_cell_peers.py
@@ -8,7 +8,12 @@
 import pytest
 
 from fuchsiadale.cell import peers
-from fuchsiadale.cell.peers import OwnerStanding, PeerClient, PeerHandler, serve_peers
+from fuchsiadale.cell.peers import (
+    PeerCallbacks,
+    PeerClient,
+    PeerStatus,
+    start_peer_server,
+)
 from fuchsiadale.decision.workflow.names import StepName
 from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
@@ -31,15 +36,15 @@
 
 
 async def serve() -> tuple[object, PeerClient]:
-    handler = PeerHandler(
-        lambda node, address, epoch, is_leaving: OwnerStanding("i", True, epoch, 0.5),
+    handler = PeerCallbacks(
+        lambda node, address, epoch, is_leaving: PeerStatus("i", True, epoch, 0.5),
         lambda job_id: (True, None),
         lambda key, value: True,
         SlowAdvisor(),
     )
     for port in range(20100, 20200):
         try:
-            server = await serve_peers(handler, f"127.0.0.1:{port}")
+            server = await start_peer_server(handler, f"127.0.0.1:{port}")
         except RuntimeError:
             continue
         return server, PeerClient(f"127.0.0.1:{port}")
@@ -75,8 +80,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ):
     server, client = await serve()
-    frequent = [(name, value) for name, value in peers.OPTIONS if "time_ms" not in name]
-    monkeypatch.setattr(peers, "OPTIONS", [*frequent, ("grpc.keepalive_time_ms", 200)])
+    frequent = [
+        (name, value) for name, value in peers.GRPC_OPTIONS if "time_ms" not in name
+    ]
+    monkeypatch.setattr(
+        peers, "GRPC_OPTIONS", [*frequent, ("grpc.keepalive_time_ms", 200)]
+    )
     assert await client.sync("node", "1:1", 3, False) is not None
     channel = client._channel
     assert channel is not None
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -6,12 +6,16 @@
 
 from result import Err, Ok, Result
 
-from fuchsiadale.cell.reply_loss_tracker import MEMORY_S, SHORT_WAIT_S, AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import (
+    LOSS_MEMORY_S,
+    SHORT_POLL_WAIT_S,
+    ReplyLossTracker,
+)
 from fuchsiadale.cell.worker_link import (
-    LOOK_WAIT_S,
-    LinkEvents,
+    POLL_WAIT_S,
+    LinkCallbacks,
     WorkerLink,
-    lapse_after_s,
+    lease_expiry_delay_s,
 )
 from fuchsiadale.decision.workflow.messages import WorkerReport
 from fuchsiadale.decision.workflow.names import TaskName
@@ -77,12 +81,12 @@
 class Watched:
     """A busy link to a worker, and what it told its owner."""
 
-    def __init__(self, losses: AnswerLosses) -> None:
+    def __init__(self, losses: ReplyLossTracker) -> None:
         self.worker = Worker()
         self.reports_s: list[float] = []
         self.silences = 0
         self.lease_ends_s: list[float] = []
-        events = LinkEvents(
+        events = LinkCallbacks(
             lambda *args: self.reports_s.append(asyncio.get_running_loop().time()),
             self._note_silence,
             lambda worker_id: None,
@@ -100,32 +104,32 @@
 
 def test_looks_are_short_for_a_while_after_an_answer_was_lost():
     async def main() -> None:
-        losses = AnswerLosses()
+        losses = ReplyLossTracker()
         watched = Watched(losses)
         await asyncio.sleep(2.0)
-        assert watched.worker.waits_s[-1] == LOOK_WAIT_S
-        losses.note()
-        await asyncio.sleep(LOOK_WAIT_S + 0.1)
-        assert watched.worker.waits_s[-1] == SHORT_WAIT_S
-        await asyncio.sleep(MEMORY_S)
-        assert watched.worker.waits_s[-1] == LOOK_WAIT_S
+        assert watched.worker.waits_s[-1] == POLL_WAIT_S
+        losses.record_loss()
+        await asyncio.sleep(POLL_WAIT_S + 0.1)
+        assert watched.worker.waits_s[-1] == SHORT_POLL_WAIT_S
+        await asyncio.sleep(LOSS_MEMORY_S)
+        assert watched.worker.waits_s[-1] == POLL_WAIT_S
 
     run_virtually(main())
 
 
 def test_many_workers_are_not_looked_at_more_often():
     async def main() -> None:
-        losses = AnswerLosses()
-        losses.workers = 176
-        losses.note()
-        assert losses.limit_wait_s(LOOK_WAIT_S) == LOOK_WAIT_S
+        losses = ReplyLossTracker()
+        losses.worker_count = 176
+        losses.record_loss()
+        assert losses.limit_wait_s(POLL_WAIT_S) == POLL_WAIT_S
 
     run_virtually(main())
 
 
 def test_worker_that_answers_again_is_known_at_once():
     async def main() -> None:
-        watched = Watched(AnswerLosses())
+        watched = Watched(ReplyLossTracker())
         await asyncio.sleep(2.0)
         watched.worker.is_mute = True
         await asyncio.sleep(3.0)
@@ -141,10 +145,10 @@
 
 def test_leases_of_a_worker_that_stays_silent_lapse():
     async def main() -> None:
-        watched = Watched(AnswerLosses())
+        watched = Watched(ReplyLossTracker())
         await asyncio.sleep(2.0)
         watched.worker.is_mute = True
-        await asyncio.sleep(LOOK_WAIT_S + lapse_after_s(6.0) + 1.0)
+        await asyncio.sleep(POLL_WAIT_S + lease_expiry_delay_s(6.0) + 1.0)
         assert max(watched.lease_ends_s) < asyncio.get_running_loop().time()
         watched.worker.is_mute = False
         await asyncio.sleep(2.0)
