--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -1,6 +1,7 @@
-"""Spreads calls for advice over the cell's machines.
+"""Spreads calls to the advice service over the machines of a cell.
 
-The service answers one call of a machine at a time, so each machine is a lane.
+The service answers one call of each machine at a time. Each machine is therefore a
+lane, which carries one call at a time.
 """
 
 from __future__ import annotations
@@ -12,67 +13,67 @@
 from fuchsiadale.decision.workflow.messages import RequestAdvice
 from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
-ANSWER_FACTOR = 2.0
-"""Times its cost that an answer may take; the service is at times slow."""
+REPLY_TIME_FACTOR = 2.0
+"""Factor by which a call may exceed its expected time; the service is at times slow."""
 
-ANSWER_MARGIN_S = 0.6
-"""Further seconds for the way; a hundred times the usual."""
+NETWORK_MARGIN_S = 0.6
+"""Part of a call's timeout for the network, in seconds; 100 times the usual time."""
 
-LANE_PAUSE_S = 1.0
-"""Seconds for which a lane without an answer is not used."""
+LANE_COOLDOWN_S = 1.0
+"""Time for which a lane is not used after a call without a reply, in seconds."""
 
 
 class AdvicePool:
-    """Gives each call to an idle lane.
+    """Sends each call to the advice service through an idle lane.
 
     Parameters
     ----------
     local : AdviceClient
-        This process's own lane.
+        Client for the lane of this process's own machine.
     """
 
     def __init__(self, local: AdviceClient) -> None:
-        self._advisors: dict[str, AdviceClient] = {"": local}
-        self._busy: set[str] = set()
+        self._clients: dict[str, AdviceClient] = {"": local}
+        self._busy_lanes: set[str] = set()
         self._paused_until_s: dict[str, float] = {}
 
     @property
     def usable_lane_count(self) -> int:
-        """Calls that can be under way at once."""
-        return len(self._advisors) - len(self._paused())
+        """Number of lanes that are not paused, which limits the concurrent calls."""
+        return len(self._clients) - len(self._paused_lanes())
 
-    def set_peers(self, advisors: dict[str, AdviceClient]) -> None:
-        """Use these peers' lanes beside this process's own."""
-        self._advisors = {"": self._advisors[""], **advisors}
+    def set_peers(self, clients: dict[str, AdviceClient]) -> None:
+        """Replace the clients of the peers' lanes, given by the peers' addresses."""
+        self._clients = {"": self._clients[""], **clients}
 
     async def request_advice(self, order: RequestAdvice) -> Advice | None:
-        """Return the advice, or None if none came."""
-        lane = self._idle_lane()
+        """Return the advice, or None if no lane is idle or no reply arrives."""
+        lane = self._find_idle_lane()
         if lane is None:
             return None
-        self._busy.add(lane)
+        self._busy_lanes.add(lane)
         try:
-            timeout_s = ANSWER_FACTOR * order.expected_duration_s + ANSWER_MARGIN_S
-            advice = await self._advisors[lane].request_advice(
+            timeout_s = REPLY_TIME_FACTOR * order.expected_duration_s + NETWORK_MARGIN_S
+            advice = await self._clients[lane].request_advice(
                 order.step, order.worker_ids, timeout_s
             )
         finally:
-            self._busy.discard(lane)
+            self._busy_lanes.discard(lane)
         if advice is None:
-            until_s = asyncio.get_running_loop().time() + LANE_PAUSE_S
+            until_s = asyncio.get_running_loop().time() + LANE_COOLDOWN_S
             self._paused_until_s[lane] = until_s
             log_message("advice_unanswered", lane=lane, step=str(order.step))
         return advice
 
-    def _idle_lane(self) -> str | None:
-        unusable = self._busy | self._paused()
-        idle = [lane for lane in self._advisors if lane not in unusable]
-        return idle[-1] if idle else None
+    def _find_idle_lane(self) -> str | None:
+        unusable_lanes = self._busy_lanes | self._paused_lanes()
+        idle_lanes = [lane for lane in self._clients if lane not in unusable_lanes]
+        return idle_lanes[-1] if idle_lanes else None
 
-    def _paused(self) -> set[str]:
+    def _paused_lanes(self) -> set[str]:
         now_s = asyncio.get_running_loop().time()
         return {
             lane
-            for lane in self._advisors
+            for lane in self._clients
             if self._paused_until_s.get(lane, 0.0) > now_s
         }
--- a/src/fuchsiadale/cell/configuration_watch.py
+++ b/src/fuchsiadale/cell/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration, and knows how long ago it was confirmed."""
+"""Keeps the newest configuration and the time since it was last confirmed."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 from fuchsiadale.ports.rows import StoreFailure
 
-WATCH_S = 1.0
-"""Seconds that a watch waits; bounds the age of a confirmation."""
+WATCH_WAIT_S = 1.0
+"""Seconds that one watch waits for a change; bounds the time between confirmations."""
 
-RETRY_S = 0.1
-"""Seconds before a failed reading is tried again."""
+RETRY_DELAY_S = 0.1
+"""Seconds before a failed read or watch is repeated."""
 
-RETRY_AFTER_OUTAGE_S = 0.3
-"""Seconds between tries after several have failed."""
+OUTAGE_RETRY_DELAY_S = 0.3
+"""Seconds between attempts during an outage of the source."""
 
-FAILURES_OF_OUTAGE = 3
-"""Failed tries in a row that make an outage."""
+OUTAGE_FAILURE_COUNT = 3
+"""Number of consecutive failed attempts that count as an outage."""
 
 
 class ConfigurationWatch:
@@ -34,9 +34,9 @@
     Parameters
     ----------
     source : ConfigurationSource
-        Where it comes from.
+        Source of the configuration.
     on_change : callable
-        Called with each version that is applied.
+        Called with each newer version of the configuration.
     """
 
     def __init__(
@@ -53,66 +53,66 @@
 
     @property
     def current(self) -> CellConfiguration | None:
-        """The newest version; None before the first."""
+        """Newest configuration received; None if none has been received."""
         return self._current
 
     @property
     def age_s(self) -> float:
-        """Seconds since no newer version existed for certain."""
+        """Seconds since it was last certain that no newer version existed."""
         if self._confirmed_s is None:
             return float("inf")
         return asyncio.get_running_loop().time() - self._confirmed_s
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last reading failed."""
+        """Whether the last read or watch failed."""
         return self._failures > 0
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Read and watch the configuration until cancelled."""
         while True:
             sent_s = asyncio.get_running_loop().time()
             position = self._position
             if position is None:
                 outcome = await self._source.read()
             else:
-                outcome = await self._source.watch(position, WATCH_S)
+                outcome = await self._source.watch(position, WATCH_WAIT_S)
             if isinstance(outcome, Err):
-                await self._after_failure(outcome.err_value)
+                await self._handle_failure(outcome.err_value)
             else:
-                self._take(outcome.ok_value, sent_s)
+                self._process_reading(outcome.ok_value, sent_s)
                 if self._current is None:
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
 
-    def _take(self, reading: ConfigurationReading, sent_s: float) -> None:
-        if self._failures >= FAILURES_OF_OUTAGE:
+    def _process_reading(self, reading: ConfigurationReading, sent_s: float) -> None:
+        if self._failures >= OUTAGE_FAILURE_COUNT:
             log_message("dependency_regained", dependency="configuration")
         self._failures = 0
         self._position = reading.position
-        found = reading.configuration
-        if found is not None and (
-            self._current is None or found.version > self._current.version
+        received = reading.configuration
+        if received is not None and (
+            self._current is None or received.version > self._current.version
         ):
             previous = self._current.version if self._current else 0
-            self._current = found
+            self._current = received
             log_message(
-                "configuration_applied", version=found.version, previous=previous
+                "configuration_applied", version=received.version, previous=previous
             )
-            self._on_change(found)
+            self._on_change(received)
         if self._current is not None:
             self._confirmed_s = sent_s
 
-    async def _after_failure(self, failure: StoreFailure) -> None:
+    async def _handle_failure(self, failure: StoreFailure) -> None:
         if failure is StoreFailure.HISTORY_LOST:
             self._position = None
             return
         self._failures += 1
-        if self._failures == FAILURES_OF_OUTAGE:
+        if self._failures == OUTAGE_FAILURE_COUNT:
             log_message(
                 "dependency_lost",
                 dependency="configuration",
                 reason=failure.value,
                 age_s=round(self.age_s, 3),
             )
-        is_outage = self._failures >= FAILURES_OF_OUTAGE
-        await asyncio.sleep(RETRY_AFTER_OUTAGE_S if is_outage else RETRY_S)
+        is_outage = self._failures >= OUTAGE_FAILURE_COUNT
+        await asyncio.sleep(OUTAGE_RETRY_DELAY_S if is_outage else RETRY_DELAY_S)
--- a/src/fuchsiadale/cell/event_log.py
+++ b/src/fuchsiadale/cell/event_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output: bounded, and never blocking."""
+"""Writes structured log lines to standard output: limited in number, never blocking."""
 
 from __future__ import annotations
 
@@ -10,56 +10,59 @@
 import eliot
 import orjson
 
-STDOUT = 1
+STDOUT_DESCRIPTOR = 1
 
 MAX_QUEUED_LINES = 5_000
-"""Lines that wait for a slow output; about 1 MB."""
+"""Maximum number of lines queued while the output is slow; about 1 MB."""
 
 MAX_LINES_PER_S = 1_000
-"""Lines written a second; further ones are counted, not written."""
+"""Maximum number of lines accepted per second; further lines are only counted."""
 
-FLUSH_S = 0.1
-"""Seconds between two writes; one system call carries all lines in between."""
+FLUSH_INTERVAL_S = 0.1
+"""Seconds between two flushes; one system call writes all lines queued in between."""
 
 MAX_WRITE_BYTES = 1 << 16
-"""Bytes handed over in one write; a pipe's capacity."""
+"""Size in bytes from which no more lines are added to a write; a pipe's capacity."""
 
 
 class EventLog:
-    """Takes eliot's messages and writes them when the output takes them.
+    """Queues the messages logged with eliot and writes them without blocking.
 
     Parameters
     ----------
     node : str
-        Named in every line.
+        Name of this machine, which is added to every line.
     descriptor : int, default=1
-        Where lines are written.
+        File descriptor that lines are written to.
     """
 
-    def __init__(self, node: str, descriptor: int = STDOUT) -> None:
+    def __init__(self, node: str, descriptor: int = STDOUT_DESCRIPTOR) -> None:
         self._node = node
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._unwritten = b""
-        self._dropped = 0
-        self._in_second = 0
+        self._dropped_count = 0
+        self._lines_this_second = 0
 
     @property
     def queued_line_count(self) -> int:
-        """Lines that the output has not taken yet."""
+        """Number of queued lines that no write has taken yet."""
         return len(self._lines)
 
     def install(self) -> None:
-        """Receive every message that eliot is given."""
+        """Register as a destination of eliot, so that every message is queued."""
         os.set_blocking(self._descriptor, False)
         eliot.add_destinations(self.enqueue)
 
     def enqueue(self, message: dict[str, Any]) -> None:
-        """Keep a message until it can be written, or count it as dropped."""
-        if len(self._lines) >= MAX_QUEUED_LINES or self._in_second >= MAX_LINES_PER_S:
-            self._dropped += 1
+        """Queue a message as a line, or count it as dropped if there are too many."""
+        if (
+            len(self._lines) >= MAX_QUEUED_LINES
+            or self._lines_this_second >= MAX_LINES_PER_S
+        ):
+            self._dropped_count += 1
             return
-        self._in_second += 1
+        self._lines_this_second += 1
         line = {
             name: value
             for name, value in message.items()
@@ -70,28 +73,28 @@
         self._lines.append(orjson.dumps(line, default=str) + b"\n")
 
     async def run(self) -> None:
-        """Write what waits until cancelled."""
-        passed = 0
+        """Write queued lines until cancelled."""
+        flush_count = 0
         try:
             while True:
-                await asyncio.sleep(FLUSH_S)
-                passed += 1
-                if passed * FLUSH_S >= 1.0:
-                    passed = 0
+                await asyncio.sleep(FLUSH_INTERVAL_S)
+                flush_count += 1
+                if flush_count * FLUSH_INTERVAL_S >= 1.0:
+                    flush_count = 0
                     self._log_dropped_lines()
                 self.flush()
         finally:
             self.flush()
 
     def flush(self) -> None:
-        """Write as much as the output takes now."""
+        """Write as many queued lines as the output accepts without blocking."""
         while self._unwritten or self._lines:
             size = len(self._unwritten)
-            chunk = [self._unwritten] if self._unwritten else []
+            chunks = [self._unwritten] if self._unwritten else []
             while self._lines and size < MAX_WRITE_BYTES:
-                chunk.append(self._lines.popleft())
-                size += len(chunk[-1])
-            data = b"".join(chunk)
+                chunks.append(self._lines.popleft())
+                size += len(chunks[-1])
+            data = b"".join(chunks)
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
@@ -102,7 +105,7 @@
                 return
 
     def _log_dropped_lines(self) -> None:
-        self._in_second = 0
-        if self._dropped:
-            dropped, self._dropped = self._dropped, 0
-            eliot.log_message("log_lines_dropped", count=dropped)
+        self._lines_this_second = 0
+        if self._dropped_count:
+            dropped_count, self._dropped_count = self._dropped_count, 0
+            eliot.log_message("log_lines_dropped", count=dropped_count)
--- a/src/fuchsiadale/cell/explain.py
+++ b/src/fuchsiadale/cell/explain.py
@@ -1,4 +1,4 @@
-"""Tells one job's story from the logs of several processes."""
+"""Collects the log lines that explain a job from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import orjson
 from attrs import frozen
 
-CONTEXT = frozenset(
+CELL_EVENTS = frozenset(
     {
         "ownership_taken",
         "ownership_lost",
@@ -18,7 +18,7 @@
         "stopping",
     }
 )
-"""Events that explain a job although they do not name it."""
+"""Events of the cell that can explain what happened to any job at the time."""
 
 WORKER_EVENTS = frozenset(
     {
@@ -32,7 +32,7 @@
         "lease_lapsed",
     }
 )
-"""Events of a worker that explain the jobs that ran there."""
+"""Events of a worker that can explain what happened to the jobs that ran there."""
 
 
 @frozen
@@ -42,13 +42,13 @@
     Attributes
     ----------
     time_s : float
-        When it was written, in Unix seconds of its machine.
+        Time at which the line was written, in Unix seconds by its machine's clock.
     node : str
-        The machine.
+        Name of the machine that wrote the line.
     event : str
-        What happened.
+        Name of the event.
     fields : dict
-        The inputs and the outcome.
+        All other fields of the line, such as the inputs of a decision and its outcome.
     """
 
     time_s: float
@@ -57,15 +57,15 @@
     fields: dict[str, object]
 
     def __str__(self) -> str:
-        """Return the line for a person."""
+        """Return the line in readable form."""
         details = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{self.time_s:.3f} {self.node} {self.event} {details}".rstrip()
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line of a log, or None for anything else.
+    """Parse a line of a log; return None if it is not one.
 
-    What stands before the first brace, such as another program's time, is left out.
+    Text before the first brace, such as a timestamp of another program, is ignored.
     """
     start = text.find("{")
     if start < 0:
@@ -83,21 +83,25 @@
 
 
 def collect_job_events(job_id: str, lines: Iterable[str]) -> list[LogLine]:
-    """Return what happened to a job, and around it, in order of time."""
-    parsed = [line for line in map(parse_line, lines) if line is not None]
-    own = [line for line in parsed if line.fields.get("job") == job_id]
-    if not own:
+    """Return the lines of a job and those of related events, in order of time.
+
+    Related are the events of the cell, and of the workers that the job's lines name,
+    between the first and the last line of the job.
+    """
+    parsed_lines = [line for line in map(parse_line, lines) if line is not None]
+    job_lines = [line for line in parsed_lines if line.fields.get("job") == job_id]
+    if not job_lines:
         return []
-    first_s = min(line.time_s for line in own)
-    last_s = max(line.time_s for line in own)
-    workers = {line.fields.get("worker") for line in own} - {None}
-    around = [
+    first_s = min(line.time_s for line in job_lines)
+    last_s = max(line.time_s for line in job_lines)
+    workers = {line.fields.get("worker") for line in job_lines} - {None}
+    related_lines = [
         line
-        for line in parsed
+        for line in parsed_lines
         if first_s <= line.time_s <= last_s
         and (
-            line.event in CONTEXT
+            line.event in CELL_EVENTS
             or (line.event in WORKER_EVENTS and line.fields.get("worker") in workers)
         )
     ]
-    return sorted(own + around, key=lambda line: line.time_s)
+    return sorted(job_lines + related_lines, key=lambda line: line.time_s)
--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -1,4 +1,4 @@
-"""Answers callers: checks their rights, stores their jobs and tells their state."""
+"""Handles callers' requests: authorizes them, stores jobs and reports job states."""
 
 from __future__ import annotations
 
@@ -33,31 +33,34 @@
     StoreFailure,
 )
 
-JOB_ID = re.compile(r"[0-9a-f]{16}")
-"""The form of a job's id, from the interface's contract."""
+JOB_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
+"""Form of a job id, given by the contract of the callers' interface."""
 
-STORE_TRIES = 2
-"""Times a write is sent before its outcome is told as unknown."""
+MAX_WRITE_ATTEMPTS = 2
+"""Number of times a write is sent before its outcome is reported as unknown."""
 
-STORE_TIMEOUT_S = 1.2
-"""Seconds for one write; two fit into a caller's patience of 3 s."""
+WRITE_TIMEOUT_S = 1.2
+"""Timeout of one write in seconds; two writes fit into the 3 s that a caller waits."""
 
-PENDING_AGE_S = 2.5
-"""Age up to which the owner's counts are told: its promise and a call."""
+MAX_PENDING_AGE_S = 2.5
+"""Age in seconds from which the owner's counts of pending jobs are not reported.
+
+It is the age that is promised for the counts, plus the duration of one call.
+"""
 
 
 @frozen
 class CallerRequest:
-    """One call of a caller.
+    """Address and API key of a caller's request.
 
     Attributes
     ----------
     host : str
-        The virtual host.
+        Virtual host that the request is addressed to.
     path : str
-        The path without its query.
-    key : str
-        The key that came with it; empty if none did.
+        Path of the request, without its query.
+    api_key : str
+        API key sent with the request; empty if there is none.
     """
 
     host: str
@@ -66,43 +69,56 @@
 
 
 @frozen
-class _Right:
-    """A call's queue, workspace and what follows the queue's prefix."""
+class _AuthorizedRequest:
+    """A request whose caller may use the queue.
+
+    Attributes
+    ----------
+    queue : Queue
+        Queue that the path of the request selects.
+    workspace : str
+        Name of the workspace that the API key belongs to; empty if there is none, which
+        only a public queue permits.
+    path_suffix : str
+        Rest of the path after the queue's prefix: the job id, or empty if the request
+        names no job.
+    """
 
     queue: Queue
     workspace: str
-    name: str
+    path_suffix: str
 
 
 class LocalOwner(Protocol):
-    """What the gateway needs of an owner in the same process."""
+    """Interface of the cell's owner when it runs in the same process."""
 
     def take_row(self, key: str, value: bytes) -> None:
-        """Take a stored row in."""
+        """Process a row of the job table that was just stored."""
 
     def count_pending(self) -> dict[str, int]:
-        """Return how many jobs of each queue have started nothing."""
+        """Return the number of jobs of each queue of which no run has started."""
 
 
 class Gateway:
-    """Answers callers of one process.
+    """Handles the requests of callers that reach this process.
 
     Parameters
     ----------
     configuration : ConfigurationWatch
-        The configuration.
+        Provides the configuration in force and its age.
     store : RowStore
-        Where jobs are kept.
+        Store of jobs and of their progress.
     ownership : Ownership
-        Who owns the cell.
-    owned : callable
-        Returns the owner in this process, or None.
-    show_owned : callable
-        Returns a job that the owner in this process knows, or None.
-    notify : callable
-        Hands a stored row to the owner elsewhere without waiting.
-    key_trust_s : float
-        Age of the configuration from which keys are not trusted, in seconds.
+        Provides the client and the last known status of the cell's owner.
+    get_local_owner : callable
+        Returns the cell's owner if it runs in this process, else None.
+    find_local_job : callable
+        Returns the state and workspace of a job that the owner in this process knows;
+        None if there is no such owner or it does not know the job.
+    notify_owner : callable
+        Sends a stored row to the owner in another process without waiting for it.
+    max_configuration_age_s : float
+        Age of the configuration above which API keys are not accepted, in seconds.
     """
 
     def __init__(
@@ -110,142 +126,157 @@
         configuration: ConfigurationWatch,
         store: RowStore,
         ownership: Ownership,
-        owned: Callable[[], LocalOwner | None],
-        show_owned: Callable[[str], JobView | None],
-        notify: Callable[[str, bytes], None],
-        key_trust_s: float,
+        get_local_owner: Callable[[], LocalOwner | None],
+        find_local_job: Callable[[str], JobView | None],
+        notify_owner: Callable[[str, bytes], None],
+        max_configuration_age_s: float,
     ) -> None:
-        self._key_trust_s = key_trust_s
+        self._max_configuration_age_s = max_configuration_age_s
         self._configuration = configuration
         self._store = store
         self._ownership = ownership
-        self._owned = owned
-        self._show_owned = show_owned
-        self._notify = notify
+        self._get_local_owner = get_local_owner
+        self._find_local_job = find_local_job
+        self._notify_owner = notify_owner
 
     async def submit(
-        self, call: CallerRequest, specification: Result[JobSpecification, str]
+        self, request: CallerRequest, specification: Result[JobSpecification, str]
     ) -> Result[None, Refusal]:
-        """Accept a job once it is stored."""
-        right = self._authorize(call)
-        if isinstance(right, Err):
-            return right
-        found = right.ok_value
-        if not JOB_ID.fullmatch(found.name):
-            return _refuse(ErrorKind.MALFORMED, "the job's id is not 16 hex digits")
+        """Store a job; it is accepted once it is stored."""
+        authorization = self._authorize(request)
+        if isinstance(authorization, Err):
+            return authorization
+        authorized = authorization.ok_value
+        if not JOB_ID_PATTERN.fullmatch(authorized.path_suffix):
+            return _refuse(
+                ErrorKind.MALFORMED, "the job id must be 16 lower-case hex digits"
+            )
         if isinstance(specification, Err):
             return _refuse(ErrorKind.MALFORMED, specification.err_value)
         record = JobRecord(
-            found.name,
-            found.queue.name,
-            found.workspace,
+            authorized.path_suffix,
+            authorized.queue.name,
+            authorized.workspace,
             unix_time_s(),
             specification.ok_value,
         )
         return await self._store_job(record)
 
-    async def get_job_state(self, call: CallerRequest) -> Result[JobState, Refusal]:
-        """Return a job's state."""
-        right = self._authorize(call)
-        if isinstance(right, Err):
-            return right
-        found = right.ok_value
-        view = await self._view(found.name)
+    async def get_job_state(self, request: CallerRequest) -> Result[JobState, Refusal]:
+        """Return the state of a job of the caller's workspace."""
+        authorization = self._authorize(request)
+        if isinstance(authorization, Err):
+            return authorization
+        authorized = authorization.ok_value
+        view = await self._find_job(authorized.path_suffix)
         if isinstance(view, Err):
             return view
-        if not _may_see(found, view.ok_value):
-            return _refuse(ErrorKind.FORBIDDEN, "the job is another workspace's")
+        if not _may_access(authorized, view.ok_value):
+            return _refuse(ErrorKind.FORBIDDEN, "the job belongs to another workspace")
         return Ok(view.ok_value.state)
 
-    async def cancel(self, call: CallerRequest) -> Result[None, Refusal]:
-        """Cancel a job; it is stored before the answer."""
-        right = self._authorize(call)
-        if isinstance(right, Err):
-            return right
-        found = right.ok_value
-        view = await self._view(found.name)
+    async def cancel(self, request: CallerRequest) -> Result[None, Refusal]:
+        """Cancel a job; return once the cancellation is stored."""
+        authorization = self._authorize(request)
+        if isinstance(authorization, Err):
+            return authorization
+        authorized = authorization.ok_value
+        view = await self._find_job(authorized.path_suffix)
         if isinstance(view, Err):
             return view
-        if not _may_see(found, view.ok_value):
-            return _refuse(ErrorKind.FORBIDDEN, "the job is another workspace's")
+        if not _may_access(authorized, view.ok_value):
+            return _refuse(ErrorKind.FORBIDDEN, "the job belongs to another workspace")
         if view.ok_value.state.is_final:
             return Ok(None)
-        key = found.name + CANCEL_SUFFIX
-        stored = await self._put_once(RowWrite(JOB_TABLE, key, b"1"))
-        log_message("cancel_stored", job=found.name, outcome=_outcome(stored))
+        key = authorized.path_suffix + CANCEL_SUFFIX
+        stored = await self._create_row(RowWrite(JOB_TABLE, key, b"1"))
+        log_message(
+            "cancel_stored", job=authorized.path_suffix, outcome=_outcome_label(stored)
+        )
         if isinstance(stored, Err):
             return stored
-        self._hand_over(key, b"1")
+        self._forward_to_owner(key, b"1")
         return Ok(None)
 
-    async def count_pending(self, call: CallerRequest) -> Result[int, Refusal]:
-        """Return how many jobs of a queue have started nothing."""
-        right = self._authorize(call)
-        if isinstance(right, Err):
-            return right
-        queue = right.ok_value.queue.name
-        owned = self._owned()
-        if owned is not None:
-            return Ok(owned.count_pending().get(queue, 0))
-        standing = self._ownership.owner_standing
-        is_fresh = self._ownership.standing_age_s < PENDING_AGE_S
-        if standing is None or standing.pending is None or not is_fresh:
-            return _refuse(ErrorKind.NO_OWNER, "no owner has told the counts lately")
-        return Ok(standing.pending.get(queue, 0))
-
-    def is_queue_path(self, call: CallerRequest) -> bool:
-        """Tell whether a call names a queue and no job."""
+    async def count_pending(self, request: CallerRequest) -> Result[int, Refusal]:
+        """Return the number of jobs of a queue of which no run has started."""
+        authorization = self._authorize(request)
+        if isinstance(authorization, Err):
+            return authorization
+        queue = authorization.ok_value.queue.name
+        owner = self._get_local_owner()
+        if owner is not None:
+            return Ok(owner.count_pending().get(queue, 0))
+        status = self._ownership.owner_standing
+        is_fresh = self._ownership.standing_age_s < MAX_PENDING_AGE_S
+        if status is None or status.pending is None or not is_fresh:
+            return _refuse(ErrorKind.NO_OWNER, "no recent counts from the cell's owner")
+        return Ok(status.pending.get(queue, 0))
+
+    def is_queue_path(self, request: CallerRequest) -> bool:
+        """Return whether the path of a request names a queue and no job."""
         configuration = self._configuration.current
         if configuration is None:
             return False
-        queue = configuration.find_queue(call.host, call.path)
-        return queue is not None and queue.path_prefix == call.path
+        queue = configuration.find_queue(request.host, request.path)
+        return queue is not None and queue.path_prefix == request.path
 
-    def _authorize(self, call: CallerRequest) -> Result[_Right, Refusal]:
+    def _authorize(self, request: CallerRequest) -> Result[_AuthorizedRequest, Refusal]:
         configuration = self._configuration.current
         age_s = self._configuration.age_s
         if configuration is None:
-            return _refuse(ErrorKind.CONFIG_STALE, "no configuration yet")
-        queue = configuration.find_queue(call.host, call.path)
+            return _refuse(
+                ErrorKind.CONFIG_STALE, "no configuration has been received yet"
+            )
+        queue = configuration.find_queue(request.host, request.path)
         if queue is None:
-            if age_s > self._key_trust_s:
-                return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
-            return _refuse(ErrorKind.NOT_FOUND, "no such queue")
-        workspace = configuration.find_workspace_by_key(call.api_key)
+            if age_s > self._max_configuration_age_s:
+                return _refuse(
+                    ErrorKind.CONFIG_STALE,
+                    f"{age_s:.1f} s have passed since the configuration was confirmed",
+                )
+            return _refuse(ErrorKind.NOT_FOUND, "no queue has this host and path")
+        workspace = configuration.find_workspace_by_key(request.api_key)
         if not queue.is_public:
-            if age_s > self._key_trust_s:
-                return _refuse(ErrorKind.CONFIG_STALE, f"{age_s:.1f} s old")
+            if age_s > self._max_configuration_age_s:
+                return _refuse(
+                    ErrorKind.CONFIG_STALE,
+                    f"{age_s:.1f} s have passed since the configuration was confirmed",
+                )
             if workspace is None:
-                return _refuse(ErrorKind.UNAUTHENTICATED, "unknown key")
-        name = call.path[len(queue.path_prefix) :]
-        return Ok(_Right(queue, workspace.name if workspace else "", name))
+                return _refuse(ErrorKind.UNAUTHENTICATED, "the API key is unknown")
+        suffix = request.path[len(queue.path_prefix) :]
+        return Ok(
+            _AuthorizedRequest(queue, workspace.name if workspace else "", suffix)
+        )
 
     async def _store_job(self, record: JobRecord) -> Result[None, Refusal]:
         write = job_write(record)
-        stored = await self._put_once(write)
+        stored = await self._create_row(write)
         log_message(
             "job_stored" if isinstance(stored, Ok) else "job_not_stored",
             job=record.job_id,
             queue=record.queue,
             workspace=record.workspace,
-            outcome=_outcome(stored),
+            outcome=_outcome_label(stored),
             configuration_age_s=round(self._configuration.age_s, 3),
         )
         if isinstance(stored, Ok) and write.value is not None:
-            self._hand_over(write.key, write.value)
+            self._forward_to_owner(write.key, write.value)
         return stored
 
-    async def _put_once(self, write: RowWrite) -> Result[None, Refusal]:
-        """Store a row unless it exists; a row that exists is as good."""
+    async def _create_row(self, write: RowWrite) -> Result[None, Refusal]:
+        """Store a row unless its key exists; an existing row counts as success."""
         if self._configuration.is_failing:
-            # Not sending the change keeps "not accepted" true.
-            message = "the store does not answer; the change was not sent"
+            # A write that is not sent has no effect, so the caller can safely be told
+            # that nothing was accepted.
+            message = "the store does not respond; the change was not sent"
             return _refuse(ErrorKind.STORE_UNAVAILABLE, message)
-        is_unknown = False
+        is_outcome_unknown = False
         condition = RowCondition(write.table, write.key, 0)
-        for _ in range(STORE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             outcome = await self._store.transact(
-                (write,), (condition,), STORE_TIMEOUT_S
+                (write,), (condition,), WRITE_TIMEOUT_S
             )
             if isinstance(outcome, Ok):
                 return Ok(None)
@@ -254,44 +285,44 @@
                 return Ok(None)
             if failure is not StoreFailure.UNKNOWN:
                 break
-            is_unknown = True
-        if is_unknown:
-            message = "the store did not say whether it took the change"
+            is_outcome_unknown = True
+        if is_outcome_unknown:
+            message = "the store did not confirm whether the change was stored"
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, message)
-        return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store takes no changes")
+        return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store accepts no changes")
 
-    def _hand_over(self, key: str, value: bytes) -> None:
-        owned = self._owned()
-        if owned is not None:
-            owned.take_row(key, value)
+    def _forward_to_owner(self, key: str, value: bytes) -> None:
+        owner = self._get_local_owner()
+        if owner is not None:
+            owner.take_row(key, value)
         else:
-            self._notify(key, value)
+            self._notify_owner(key, value)
 
-    async def _view(self, job_id: str) -> Result[JobView, Refusal]:
-        if not JOB_ID.fullmatch(job_id):
-            return _refuse(ErrorKind.NO_SUCH_JOB, "no such job")
-        view = self._show_owned(job_id)
+    async def _find_job(self, job_id: str) -> Result[JobView, Refusal]:
+        if not JOB_ID_PATTERN.fullmatch(job_id):
+            return _refuse(ErrorKind.NO_SUCH_JOB, "no job has this id")
+        view = self._find_local_job(job_id)
         client = self._ownership.owner_client
         if view is None and client is not None:
             view = await client.show_job(job_id)
         if view is not None:
             return Ok(view)
-        return await self._view_stored(job_id)
+        return await self._read_job(job_id)
 
-    async def _view_stored(self, job_id: str) -> Result[JobView, Refusal]:
-        """Return a job from the store, for want of an owner who knows it."""
+    async def _read_job(self, job_id: str) -> Result[JobView, Refusal]:
+        """Return a job as the store has it, if no reachable owner knows the job."""
         page = await self._store.read(JOB_TABLE, job_id, 2)
         if isinstance(page, Err):
-            return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store does not answer")
+            return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store does not respond")
         rows = {row.key: row.value for row in page.ok_value.rows}
         if job_id not in rows:
-            return _refuse(ErrorKind.NO_SUCH_JOB, "no such job")
+            return _refuse(ErrorKind.NO_SUCH_JOB, "no job has this id")
         record = decode(rows[job_id], JobRecord)
         if isinstance(record, Err):
             return _refuse(ErrorKind.INTERNAL, record.err_value)
         progress_row = await read_row(self._store, PROGRESS_TABLE, job_id)
         if isinstance(progress_row, Err):
-            return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store does not answer")
+            return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store does not respond")
         state = JobState.QUEUED
         if progress_row.ok_value is not None:
             progress = decode(progress_row.ok_value.value, JobProgress)
@@ -301,13 +332,13 @@
         return Ok(JobView(state, record.ok_value.workspace))
 
 
-def _may_see(right: _Right, view: JobView) -> bool:
-    return not view.workspace or view.workspace == right.workspace
+def _may_access(request: _AuthorizedRequest, view: JobView) -> bool:
+    return not view.workspace or view.workspace == request.workspace
 
 
 def _refuse(kind: ErrorKind, message: str) -> Err[Refusal]:
     return Err(Refusal(kind, message))
 
 
-def _outcome(stored: Result[None, Refusal]) -> str:
+def _outcome_label(stored: Result[None, Refusal]) -> str:
     return "stored" if isinstance(stored, Ok) else stored.err_value.kind.value
--- a/src/fuchsiadale/cell/job_watch.py
+++ b/src/fuchsiadale/cell/job_watch.py
@@ -1,4 +1,4 @@
-"""Tells the owner of each job and cancellation that is stored."""
+"""Notifies the owner of each stored job and cancellation."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 from fuchsiadale.cell.rows import JOB_TABLE, read_all
 from fuchsiadale.ports.rows import RowStore, StoreFailure, TableRow
 
-JOB_WATCH_S = 2.0
-"""Seconds that a watch waits; a silent connection is found out after it."""
+JOB_WATCH_WAIT_S = 2.0
+"""Seconds that a watch waits for a change; a dead connection is noticed after it."""
 
-STORE_RETRY_S = 0.1
-"""Seconds before a failed reading is tried again."""
+STORE_RETRY_DELAY_S = 0.1
+"""Seconds before a failed read or watch is repeated."""
 
 
 class JobWatch:
-    """Follows the table of jobs, and reads it again when its history is lost.
+    """Watches the job table, and reads it whole when the store has lost its history.
 
     Parameters
     ----------
     store : RowStore
-        Where the table is.
+        Store that holds the table.
     version : int
-        What is known already.
+        Version of the store up to which the owner knows the table.
     on_row : callable
-        Called with the key and the content of each new row.
+        Called with the key and the content of each new row; all rows are repeated when
+        the table is read whole.
     """
 
     def __init__(
@@ -39,29 +40,31 @@
         self._on_row = on_row
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the table until cancelled."""
         while True:
-            changes = await self._store.watch(JOB_TABLE, self._version, JOB_WATCH_S)
+            changes = await self._store.watch(
+                JOB_TABLE, self._version, JOB_WATCH_WAIT_S
+            )
             if isinstance(changes, Err):
                 if changes.err_value is StoreFailure.HISTORY_LOST:
-                    await self._read_again()
+                    await self._read_table()
                 else:
-                    await asyncio.sleep(STORE_RETRY_S)
+                    await asyncio.sleep(STORE_RETRY_DELAY_S)
                 continue
-            self._take(changes.ok_value.rows)
+            self._deliver_rows(changes.ok_value.rows)
             self._version = changes.ok_value.version
 
-    async def _read_again(self) -> None:
+    async def _read_table(self) -> None:
         found = await read_all(self._store, JOB_TABLE)
         if isinstance(found, Err):
-            await asyncio.sleep(STORE_RETRY_S)
+            await asyncio.sleep(STORE_RETRY_DELAY_S)
             return
         rows, version = found.ok_value
         log_message("jobs_read_again", rows=len(rows), version=version)
-        self._take(rows)
+        self._deliver_rows(rows)
         self._version = version
 
-    def _take(self, rows: tuple[TableRow, ...]) -> None:
+    def _deliver_rows(self, rows: tuple[TableRow, ...]) -> None:
         for row in rows:
             if not row.is_deleted:
                 self._on_row(row.key, row.value)
--- a/src/fuchsiadale/cell/metrics.py
+++ b/src/fuchsiadale/cell/metrics.py
@@ -11,11 +11,11 @@
 )
 
 LATENCY_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
-"""Bounds in seconds: from one answer of the store to a caller's patience."""
+"""Bucket bounds in seconds, from one reply of the store up to a caller's timeout."""
 
 
 class CellMetrics:
-    """What a process counts and times."""
+    """Counters, gauges and histograms of one process."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -42,7 +42,7 @@
         )
 
     def render(self) -> bytes:
-        """Return every metric as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def _counter(self, name: str, text: str, labels: tuple[str, ...]) -> Counter:
--- a/src/fuchsiadale/cell/peers.py
+++ b/src/fuchsiadale/cell/peers.py
@@ -1,4 +1,4 @@
-"""Calls between the processes of a cell."""
+"""Remote procedure calls between the processes of a cell."""
 
 from __future__ import annotations
 
@@ -32,20 +32,24 @@
 from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 SYNC_TIMEOUT_S = 0.4
-"""Seconds until a peer counts as silent; forty times its usual answer."""
+"""Timeout of a sync call in seconds; forty times the usual response time."""
 
-SHOW_TIMEOUT_S = 0.6
-"""Seconds until the store is asked instead of the owner."""
+SHOW_JOB_TIMEOUT_S = 0.6
+"""Timeout in seconds of asking the owner for a job; after it, the store is read."""
 
 NOTIFY_TIMEOUT_S = 0.5
-"""Seconds given to a hint; the watch brings the row in any case."""
+"""Timeout in seconds of sending a stored row to the owner.
+
+If the call fails, the owner still receives the row through its watch of the store.
+"""
 
 GRPC_OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
     ("grpc.keepalive_timeout_ms", 1000),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
-    # A server takes frequent keepalives for an attack and closes the connection.
+    # By default a server treats frequent keepalive pings as an attack and closes the
+    # connection.
     ("grpc.http2.max_ping_strikes", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
@@ -54,27 +58,28 @@
     ("grpc.use_local_subchannel_pool", 1),
 ]
 
-Context = grpc.aio.ServicerContext[Any, Any]
+RpcContext = grpc.aio.ServicerContext[Any, Any]
 
 
 @frozen
 class PeerStatus:
-    """What a process says of itself.
+    """Status that a process reports to its peers.
 
     Attributes
     ----------
     incarnation : str
-        Identifies it.
+        Unique id of the running process, which a restart changes.
     is_owner : bool
-        Whether it owns the cell now.
+        Whether the process owns the cell.
     epoch : int
-        The highest epoch that it knows.
+        Highest epoch that the process knows.
     renewed_age_s : float
-        Seconds since it last renewed its ownership.
+        Time since the process last renewed its ownership, in seconds.
     pending : dict of str to int or None
-        Jobs that have started nothing, by queue; None if it does not own the cell.
+        Number of jobs of which no run has started, by queue; None if the process does
+        not own the cell.
     cannot_renew : bool
-        Whether the store has refused it for some time.
+        Whether the store has rejected every transaction of the process for some time.
     """
 
     incarnation: str
@@ -87,25 +92,36 @@
 
 @frozen
 class JobView:
-    """A job as its owner knows it."""
+    """State and workspace of a job.
+
+    Attributes
+    ----------
+    state : JobState
+        State that callers are shown.
+    workspace : str
+        Workspace that submitted the job; empty if it was submitted without an API key.
+    """
 
     state: JobState
     workspace: str
 
 
 class PeerCallbacks:
-    """What a process does for its peers.
+    """Functions that carry out the calls of peers.
 
     Parameters
     ----------
     sync : callable
-        Takes a peer's name, address, epoch and whether it leaves.
+        Called with a peer's node name, its address, the highest epoch that it knows and
+        whether it is stopping; returns the status of this process.
     show_job : callable
-        Returns a job, or None if this process does not own the cell, or a view.
+        Called with a job id; returns whether this process owns the cell, and the job or
+        None if the process does not know it.
     notify : callable
-        Takes a stored row; tells whether this process owns the cell.
-    advisor : AdviceClient
-        This machine's lane to the advice service.
+        Called with the key and the content of a stored row; returns whether this
+        process owns the cell.
+    advice_client : AdviceClient
+        Client that calls the advice service from this machine.
     """
 
     def __init__(
@@ -122,43 +138,43 @@
 
 
 class CellService(CellServicer):  # type: ignore[misc]
-    """Answers peers.
+    """RPC service that a process offers to its peers.
 
     Parameters
     ----------
-    handler : PeerHandler
-        What is done for them.
+    callbacks : PeerCallbacks
+        Functions that carry out the calls.
     """
 
-    def __init__(self, handler: PeerCallbacks) -> None:
-        self._handler = handler
+    def __init__(self, callbacks: PeerCallbacks) -> None:
+        self._callbacks = callbacks
 
     async def Sync(  # noqa: N802
-        self, request: SyncRequest, context: Context
+        self, request: SyncRequest, context: RpcContext
     ) -> SyncReply:
-        """Exchange what is known of the owner."""
-        standing = self._handler.sync(
+        """Receive a peer's status and reply with the status of this process."""
+        status = self._callbacks.sync(
             request.node, request.address, request.epoch, request.is_leaving
         )
-        counts = standing.pending or {}
+        counts = status.pending or {}
         return SyncReply(
-            incarnation=standing.incarnation,
-            is_owner=standing.is_owner,
-            epoch=standing.epoch,
-            renewed_age_s=standing.renewed_age_s,
+            incarnation=status.incarnation,
+            is_owner=status.is_owner,
+            epoch=status.epoch,
+            renewed_age_s=status.renewed_age_s,
             counts=[
                 QueueCount(queue=queue, pending=count)
                 for queue, count in counts.items()
             ],
-            has_counts=standing.pending is not None,
-            cannot_renew=standing.cannot_renew,
+            has_counts=status.pending is not None,
+            cannot_renew=status.cannot_renew,
         )
 
     async def ShowJob(  # noqa: N802
-        self, request: ShowJobRequest, context: Context
+        self, request: ShowJobRequest, context: RpcContext
     ) -> ShowJobReply:
-        """Show a job."""
-        is_owner, view = self._handler.show_job(request.job_id)
+        """Return the state and workspace of a job if this process knows it."""
+        is_owner, view = self._callbacks.show_job(request.job_id)
         if view is None:
             return ShowJobReply(is_owner=is_owner, is_known=False)
         return ShowJobReply(
@@ -169,11 +185,11 @@
         )
 
     async def Advise(  # noqa: N802
-        self, request: AdviseRequest, context: Context
+        self, request: AdviseRequest, context: RpcContext
     ) -> AdviseReply:
-        """Ask the advice service from this machine."""
+        """Call the advice service from this machine on behalf of a peer."""
         job_id, occurrence, step = request.step.rsplit(".", 2)
-        advice = await self._handler.advice_client.request_advice(
+        advice = await self._callbacks.advice_client.request_advice(
             StepName(job_id, int(occurrence), int(step)),
             tuple(request.worker_ids),
             request.timeout_s,
@@ -190,29 +206,41 @@
         )
 
     async def Notify(  # noqa: N802
-        self, request: NotifyRequest, context: Context
+        self, request: NotifyRequest, context: RpcContext
     ) -> NotifyReply:
-        """Take a stored row in."""
-        return NotifyReply(is_owner=self._handler.notify(request.key, request.value))
+        """Pass a stored row to the owner if it runs in this process."""
+        return NotifyReply(is_owner=self._callbacks.notify(request.key, request.value))
+
 
+async def start_peer_server(callbacks: PeerCallbacks, address: str) -> grpc.aio.Server:
+    """Start the RPC server for peers.
 
-async def start_peer_server(handler: PeerCallbacks, address: str) -> grpc.aio.Server:
-    """Begin to answer peers.
+    Parameters
+    ----------
+    callbacks : PeerCallbacks
+        Functions that carry out the calls.
+    address : str
+        ``ip:port`` to listen on.
+
+    Returns
+    -------
+    server : grpc.aio.Server
+        The running server.
 
     Raises
     ------
     RuntimeError
-        If the address cannot be listened on.
+        If the server cannot listen on the address.
     """
     server = grpc.aio.server(options=GRPC_OPTIONS)
-    add_CellServicer_to_server(CellService(handler), server)
+    add_CellServicer_to_server(CellService(callbacks), server)
     server.add_insecure_port(address)
     await server.start()
     return server
 
 
 class PeerClient(AdviceClient):
-    """Calls one peer; a call without an answer takes the channel with it.
+    """RPC client of one peer, which closes its channel when a call times out.
 
     Parameters
     ----------
@@ -223,22 +251,25 @@
     def __init__(self, address: str) -> None:
         self._address = address
         self._channel: grpc.aio.Channel | None = None
-        self._is_refused = False
+        self._is_connection_refused = False
 
     @property
     def address(self) -> str:
-        """Where the peer listens."""
+        """Address of the peer, as ``ip:port``."""
         return self._address
 
     @property
     def is_connection_refused(self) -> bool:
-        """Whether the last call ended because nothing listens at the address."""
-        return self._is_refused
+        """Whether the last call failed because nothing listens at the address."""
+        return self._is_connection_refused
 
     async def sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
     ) -> PeerStatus | None:
-        """Exchange what is known of the owner; None without an answer."""
+        """Send this process's status to the peer and return the peer's status.
+
+        Returns None if the peer does not reply.
+        """
         request = SyncRequest(
             node=node, address=address, epoch=epoch, is_leaving=is_leaving
         )
@@ -256,32 +287,35 @@
         )
 
     async def wait_for_disconnect(self, timeout_s: float) -> None:
-        """Wait for the connection to end, or for some time."""
+        """Wait until the connection ends, but at most for `timeout_s` seconds."""
         channel = self._channel
         if channel is None:
             await asyncio.sleep(timeout_s)
             return
-        lost = channel.wait_for_state_change(grpc.ChannelConnectivity.READY)
+        state_change = channel.wait_for_state_change(grpc.ChannelConnectivity.READY)
         with suppress(TimeoutError, grpc.aio.UsageError):
-            await asyncio.wait_for(lost, timeout_s)
+            await asyncio.wait_for(state_change, timeout_s)
 
     async def show_job(self, job_id: str) -> JobView | None:
-        """Return a job, or None if the peer does not know it or does not answer."""
+        """Return a job, or None if the peer does not know it or does not reply."""
         request = ShowJobRequest(job_id=job_id)
-        reply = await self._call("ShowJob", request, SHOW_TIMEOUT_S)
+        reply = await self._call("ShowJob", request, SHOW_JOB_TIMEOUT_S)
         if reply is None or not reply.is_owner or not reply.is_known:
             return None
         return JobView(JobState(reply.state), reply.workspace)
 
     async def notify(self, key: str, value: bytes) -> None:
-        """Hand a stored row over, ahead of the peer's own watch."""
+        """Send a stored row to the peer before its watch of the store delivers it."""
         request = NotifyRequest(key=key, value=value)
         await self._call("Notify", request, NOTIFY_TIMEOUT_S)
 
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Ask the advice service from the peer's machine."""
+        """Call the advice service from the peer's machine.
+
+        Returns None if the peer or the advice service does not reply.
+        """
         request = AdviseRequest(
             step=str(step), worker_ids=worker_ids, timeout_s=timeout_s
         )
@@ -304,19 +338,20 @@
         try:
             reply = await getattr(CellStub(channel), name)(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
-            self._is_refused = error.code() is grpc.StatusCode.UNAVAILABLE
-            is_silent = error.code() is grpc.StatusCode.DEADLINE_EXCEEDED
-            if is_silent and self._channel is channel:
+            self._is_connection_refused = error.code() is grpc.StatusCode.UNAVAILABLE
+            is_unresponsive = error.code() is grpc.StatusCode.DEADLINE_EXCEEDED
+            if is_unresponsive and self._channel is channel:
                 await self.close()
             return None
         except grpc.aio.UsageError:
-            # Another call found the peer silent and closed the channel.
+            # Another call has timed out and closed the channel.
             return None
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
-            # Closing the channel cancels its other calls, and not their callers.
+            # Closing the channel cancels the other calls on it; the tasks that made
+            # those calls are not cancelled and get no reply.
             return None
-        self._is_refused = False
+        self._is_connection_refused = False
         return reply
--- a/src/fuchsiadale/cell/reply_loss_tracker.py
+++ b/src/fuchsiadale/cell/reply_loss_tracker.py
@@ -1,42 +1,44 @@
-"""Remembers whether answers of workers were lost lately, over all workers."""
+"""Tracks the replies lost recently on the way from any of the workers."""
 
 from __future__ import annotations
 
 import asyncio
 
 LOSS_MEMORY_S = 4.0
-"""Seconds for which one lost answer counts; losses come in spells of some seconds."""
+"""Seconds for which a loss shortens polls; losses come in bursts of a few seconds."""
 
 SHORT_POLL_WAIT_S = 0.2
-"""Seconds that a look waits then; bounds how long an end goes unnoticed."""
+"""Wait of a shortened poll in seconds; bounds how long an ended run goes unnoticed."""
 
-SHORT_LOOKS_PER_S = 100.0
-"""Looks a second over all workers that are worth it; a tenth of a small core."""
+MAX_SHORT_POLLS_PER_S = 100.0
+"""Most shortened polls per second to all workers, which use a tenth of a small core."""
 
 
 class ReplyLossTracker:
-    """Tells how long looks should wait while answers of workers are being lost.
+    """Shortens the waits of polls while replies of workers are being lost.
+
+    The report of an ended run that is lost with its reply is then soon repeated.
 
     Attributes
     ----------
-    workers : int
-        How many workers are looked at.
+    worker_count : int
+        Number of workers that are polled.
     """
 
     def __init__(self) -> None:
         self.worker_count = 0
-        self._lost_s: float | None = None
+        self._last_loss_s: float | None = None
 
     def limit_wait_s(self, wait_s: float) -> float:
-        """Return how long to wait instead of `wait_s`, in seconds."""
-        if self._lost_s is None:
+        """Return the time that a poll waits, at most `wait_s`, in seconds."""
+        if self._last_loss_s is None:
             return wait_s
-        if asyncio.get_running_loop().time() - self._lost_s > LOSS_MEMORY_S:
+        if asyncio.get_running_loop().time() - self._last_loss_s > LOSS_MEMORY_S:
             return wait_s
         return min(
-            wait_s, max(SHORT_POLL_WAIT_S, self.worker_count / SHORT_LOOKS_PER_S)
+            wait_s, max(SHORT_POLL_WAIT_S, self.worker_count / MAX_SHORT_POLLS_PER_S)
         )
 
     def record_loss(self) -> None:
-        """Note that an answer did not come."""
-        self._lost_s = asyncio.get_running_loop().time()
+        """Record that the reply to a call did not arrive."""
+        self._last_loss_s = asyncio.get_running_loop().time()
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -1,4 +1,4 @@
-"""Keeps one worker's lease renewed, watches what runs there and passes orders."""
+"""Polls one worker, renews the leases of its runs and sends it orders."""
 
 from __future__ import annotations
 
@@ -27,67 +27,103 @@
 )
 
 LEASE_S = 4.5
-"""Lease of what runs: bears a takeover of 3 s, and bounds the wait for the silent."""
+"""Duration of a lease of runs, in seconds.
+
+Runs must survive a takeover of the cell, during which their leases are not renewed for
+3 s. The lease also bounds how long the runs of an unresponsive worker are waited for.
+"""
 
 POLL_WAIT_S = 0.8
-"""Seconds that a look waits for an end; below a checkpoint's interval of 1 s."""
+"""Seconds that a poll waits for a run to end; below a checkpoint interval of 1 s."""
 
-IDLE_LOOK_WAIT_S = 2.0
-"""Seconds that a look waits at a worker without runs; the longest allowed."""
+IDLE_POLL_WAIT_S = 2.0
+"""Seconds that a poll waits at a worker without runs; the longest wait allowed."""
 
-LOOK_MARGIN_S = 0.3
-"""Seconds beyond its wait until a look counts as unanswered: 40 times its way."""
+POLL_TIMEOUT_MARGIN_S = 0.3
+"""Seconds by which a poll's timeout exceeds its wait; 40 times the network time."""
 
 CALL_TIMEOUT_S = 0.3
-"""Seconds until a call counts as unanswered; 40 times its usual time."""
+"""Timeout of all other calls to workers in seconds; 40 times their usual duration."""
+
+RETRY_DELAY_S = 0.15
+"""Seconds before a worker is polled again after a poll has failed."""
 
-RETRY_S = 0.15
-"""Seconds between two calls to a worker that does not answer."""
+UNRECORDED_ENDS_WAIT_S = 0.3
+"""Longest wait between two polls while reported ends are not recorded, in seconds.
 
-UNRECORDED_WAIT_S = 0.3
-"""Seconds between two looks while ends wait to be recorded: an outage's."""
+Ends stay unrecorded for so long only during an outage of the store.
+"""
 
-LAPSE_MARGIN_S = 0.3
-"""Seconds after a lease's end until its runs count as gone: the time to kill them."""
+KILL_MARGIN_S = 0.3
+"""Seconds from a lease's end until its runs count as gone: the time to kill them."""
 
-START_TRIES = 5
-"""Times a start is sent to the same worker before its outcome counts as unknown."""
+MAX_START_ATTEMPTS = 5
+"""Number of times a start is sent to a worker before its outcome counts as unknown."""
 
 MS_PER_S = 1000.0
 
 
 def lease_expiry_delay_s(max_lease_s: float) -> float:
-    """Return after how many seconds a lease given by an owner has surely ended."""
-    return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
+    """Return the time after which a lease that an owner grants has certainly expired.
+
+    Parameters
+    ----------
+    max_lease_s : float
+        Longest lease that workers accept, in seconds.
+
+    Returns
+    -------
+    delay_s : float
+        Time from the grant until the runs that held the lease are killed, in seconds.
+    """
+    return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
 
 @define
-class WorkerClock:
-    """What is known of a worker's clock.
+class ClockReading:
+    """Last known reading of a worker's clock.
 
     Attributes
     ----------
     reading_ms : int
-        Its last reading.
+        Reading of the worker's clock, in milliseconds.
     received_s : float
-        When that arrived, on the loop's clock.
+        Time on the event loop's clock at which the reading arrived, in seconds.
     """
 
     reading_ms: int
     received_s: float
 
     def lease_end_ms(self, now_s: float, lease_s: float) -> int:
-        """Return when a lease given now ends, on the worker's clock."""
+        """Return the end of a lease that is granted now, on the worker's clock."""
         return self.reading_ms + round(MS_PER_S * (now_s - self.received_s + lease_s))
 
-    def lapse_s(self, lease_end_ms: int) -> float:
-        """Return when a lease has surely ended, on the loop's clock."""
-        left_s = (lease_end_ms - self.reading_ms) / MS_PER_S
-        return self.received_s + left_s / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
+    def lease_expiry_s(self, lease_end_ms: int) -> float:
+        """Return when a lease has certainly expired, on the event loop's clock."""
+        remaining_s = (lease_end_ms - self.reading_ms) / MS_PER_S
+        return self.received_s + remaining_s / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
 
 class LinkCallbacks:
-    """What a link tells its owner."""
+    """Functions through which a link reports to the owner.
+
+    Each is called with the worker's id first.
+
+    Parameters
+    ----------
+    on_report : callable
+        Called with each report and the time at which the poll was sent, in seconds on
+        the event loop's clock.
+    on_unresponsive : callable
+        Called each time a poll fails for a reason other than fencing or replacement.
+    on_replaced : callable
+        Called when a worker with another id answers at the address.
+    on_lease_extended : callable
+        Called with the time at which the extended leases have certainly expired, in
+        seconds on the event loop's clock.
+    on_fenced : callable
+        Called when the worker rejects a call because it knows a higher fencing token.
+    """
 
     def __init__(
         self,
@@ -105,22 +141,27 @@
 
 
 class WorkerLink:
-    """Talks to one worker on behalf of the owner.
+    """Connection of the cell's owner to one worker.
 
     Parameters
     ----------
     workers : WorkerClient
-        Makes the calls.
+        Client that makes the calls.
     address : WorkerAddress
-        The worker.
+        Id and address of the worker.
     epoch : int
-        The owner's fencing token.
+        Fencing token of the owner.
     max_lease_s : float
-        Longest lease that the worker grants, in seconds.
-    events : LinkEvents
-        Where it reports.
-    losses : AnswerLosses
-        Shared by all links.
+        Longest lease that the worker accepts, in seconds.
+    callbacks : LinkCallbacks
+        Functions through which the link reports to the owner.
+    reply_losses : ReplyLossTracker
+        Tracker of lost replies, shared by the links to all workers.
+
+    Attributes
+    ----------
+    is_busy : bool
+        Whether the worker has runs; set by the owner.
     """
 
     def __init__(
@@ -129,58 +170,60 @@
         address: WorkerAddress,
         epoch: int,
         max_lease_s: float,
-        events: LinkCallbacks,
-        losses: ReplyLossTracker,
+        callbacks: LinkCallbacks,
+        reply_losses: ReplyLossTracker,
     ) -> None:
-        self._losses = losses
-        self._is_silent = False
+        self._reply_losses = reply_losses
+        self._is_unresponsive = False
         self._workers = workers
         self._address = address
         self._epoch = epoch
         self._lease_s = min(LEASE_S, max_lease_s)
-        self._events = events
-        self._clock: WorkerClock | None = None
-        self._acknowledged = 0
-        self._listed = 0
-        self._started_ms = 0
-        self._recorded = asyncio.Event()
+        self._callbacks = callbacks
+        self._clock_reading: ClockReading | None = None
+        self._acknowledged_through = 0
+        self._reported_through = 0
+        self._worker_started_ms = 0
+        self._ends_recorded = asyncio.Event()
         self.is_busy = False
 
     @property
     def worker_id(self) -> str:
-        """The worker's id."""
+        """Id of the worker."""
         return self._address.worker_id
 
-    def acknowledge(self, end: int) -> None:
-        """Note that ends up to a number are recorded."""
-        self._acknowledged = end
-        self._recorded.set()
+    def acknowledge(self, sequence_number: int) -> None:
+        """Acknowledge all ends up to a sequence number, which are now recorded."""
+        self._acknowledged_through = sequence_number
+        self._ends_recorded.set()
 
     def reset_ends(self) -> None:
-        """Begin to count ends anew, for a new life of the worker."""
-        self._acknowledged = 0
-        self._listed = 0
+        """Forget which ends were acknowledged; a restarted worker numbers them anew."""
+        self._acknowledged_through = 0
+        self._reported_through = 0
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Poll the worker repeatedly until cancelled."""
         while True:
-            if self._listed > self._acknowledged:
-                self._recorded.clear()
+            if self._reported_through > self._acknowledged_through:
+                self._ends_recorded.clear()
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(self._recorded.wait(), UNRECORDED_WAIT_S)
-            if not await self._look():
-                await asyncio.sleep(RETRY_S)
+                    await asyncio.wait_for(
+                        self._ends_recorded.wait(), UNRECORDED_ENDS_WAIT_S
+                    )
+            if not await self._poll():
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def start(self, order: StartRun) -> StartOutcome:
-        """Send a start; repeat it there while its outcome is unknown."""
-        is_unknown = False
-        life = self._started_ms
-        for _ in range(START_TRIES):
-            lease_end_ms = self._renewed_until()
+        """Send a start order; repeat it to this worker while its outcome is unknown."""
+        is_outcome_unknown = False
+        started_ms = self._worker_started_ms
+        for _ in range(MAX_START_ATTEMPTS):
+            lease_end_ms = self._grant_lease()
             if lease_end_ms is None:
                 return StartOutcome.UNHEALTHY
-            if self._started_ms != life:
-                # Another life of the worker knows nothing of the earlier tries.
+            if self._worker_started_ms != started_ms:
+                # The worker has restarted and no longer knows the earlier attempts.
                 return StartOutcome.UNKNOWN
             answer = await self._workers.start(
                 self._address,
@@ -196,30 +239,34 @@
                 CALL_TIMEOUT_S,
             )
             if answer.outcome is StartOutcome.FENCED:
-                self._events.on_fenced(self.worker_id)
+                self._callbacks.on_fenced(self.worker_id)
             if answer.outcome is StartOutcome.UNKNOWN:
-                is_unknown = True
-                self._losses.record_loss()
-            elif answer.outcome is StartOutcome.STARTED or not is_unknown:
+                is_outcome_unknown = True
+                self._reply_losses.record_loss()
+            elif answer.outcome is StartOutcome.STARTED or not is_outcome_unknown:
                 return answer.outcome
             else:
-                # A refusal says nothing of an earlier try that was not answered.
+                # A refusal does not tell whether an earlier attempt started the run.
                 return StartOutcome.UNKNOWN
         return StartOutcome.UNKNOWN
 
     async def stop(self, order: StopRun) -> bool:
-        """Send a stop; tell whether the worker acknowledged it."""
+        """Send a stop order; return whether it needs no repetition.
+
+        It needs none if the worker acknowledged it, or if another worker instance
+        answers at the address.
+        """
         outcome = await self._workers.stop(
             self._address, order.task, order.run, self._epoch, CALL_TIMEOUT_S
         )
         if isinstance(outcome, Err):
             if outcome.err_value is CallFailure.FENCED:
-                self._events.on_fenced(self.worker_id)
+                self._callbacks.on_fenced(self.worker_id)
             return outcome.err_value is CallFailure.OTHER_BOOT
         return True
 
     async def set_pace(self, order: PaceRun) -> None:
-        """Send an order to work at a share of full speed."""
+        """Send an order to limit a run to a percentage of its full speed."""
         await self._workers.set_pace(
             self._address,
             order.task,
@@ -229,63 +276,69 @@
             CALL_TIMEOUT_S,
         )
 
-    async def _look(self) -> bool:
-        has_backlog = self._listed > self._acknowledged
-        wait_s = POLL_WAIT_S if self.is_busy else IDLE_LOOK_WAIT_S
+    async def _poll(self) -> bool:
+        has_unrecorded_ends = self._reported_through > self._acknowledged_through
+        wait_s = POLL_WAIT_S if self.is_busy else IDLE_POLL_WAIT_S
         if self.is_busy:
-            wait_s = self._losses.limit_wait_s(wait_s)
-        if self._clock is None or has_backlog or self._is_silent:
+            wait_s = self._reply_losses.limit_wait_s(wait_s)
+        if self._clock_reading is None or has_unrecorded_ends or self._is_unresponsive:
             wait_s = 0.0
-        # Renewing a silent worker's leases would keep its runs in the books for good.
-        lease_end_ms = None if self._is_silent else self._renewed_until()
+        # Renewing the leases of an unresponsive worker would put off their expiry
+        # forever, and with it the time from which its runs count as gone.
+        lease_end_ms = None if self._is_unresponsive else self._grant_lease()
         sent_s = asyncio.get_running_loop().time()
         outcome = await self._workers.poll(
             self._address,
-            PollRequest(lease_end_ms, self._epoch, self._acknowledged, wait_s),
-            wait_s + LOOK_MARGIN_S,
+            PollRequest(lease_end_ms, self._epoch, self._acknowledged_through, wait_s),
+            wait_s + POLL_TIMEOUT_MARGIN_S,
         )
         now_s = asyncio.get_running_loop().time()
         if isinstance(outcome, Err):
-            self._note_failure(outcome.err_value)
+            self._handle_failure(outcome.err_value)
             return False
-        self._is_silent = False
+        self._is_unresponsive = False
         report = outcome.ok_value
-        was_new = self._clock is None
-        self._clock = WorkerClock(report.clock_ms, now_s)
+        is_first_report = self._clock_reading is None
+        self._clock_reading = ClockReading(report.clock_ms, now_s)
         if lease_end_ms is not None:
-            self._events.on_lease_extended(
-                self.worker_id, self._clock.lapse_s(lease_end_ms)
+            self._callbacks.on_lease_extended(
+                self.worker_id, self._clock_reading.lease_expiry_s(lease_end_ms)
             )
-        self._started_ms = report.started_ms
-        self._listed = max((end.sequence_number for end in report.ended), default=0)
-        self._listed = max(self._listed, self._acknowledged)
-        self._events.on_report(self.worker_id, report, sent_s)
-        if was_new and report.running:
-            # What a former owner started holds a lease that it gave.
-            self._events.on_lease_extended(
+        self._worker_started_ms = report.started_ms
+        self._reported_through = max(
+            (end.sequence_number for end in report.ended), default=0
+        )
+        self._reported_through = max(self._reported_through, self._acknowledged_through)
+        self._callbacks.on_report(self.worker_id, report, sent_s)
+        if is_first_report and report.running:
+            # A former owner started these runs and may have extended their leases.
+            self._callbacks.on_lease_extended(
                 self.worker_id, now_s + lease_expiry_delay_s(self._lease_s)
             )
-            return await self._look()
+            return await self._poll()
         return True
 
-    def _note_failure(self, failure: CallFailure) -> None:
+    def _handle_failure(self, failure: CallFailure) -> None:
         if failure is CallFailure.FENCED:
-            self._events.on_fenced(self.worker_id)
+            self._callbacks.on_fenced(self.worker_id)
         elif failure is CallFailure.OTHER_BOOT:
-            self._events.on_replaced(self.worker_id)
+            self._callbacks.on_replaced(self.worker_id)
         else:
-            if failure is CallFailure.NO_ANSWER and not self._is_silent:
-                self._losses.record_loss()
-            self._is_silent = True
-            self._events.on_unresponsive(self.worker_id)
-
-    def _renewed_until(self) -> int | None:
-        """Return the end of a lease given now, after noting it."""
-        if self._clock is None:
+            if failure is CallFailure.NO_ANSWER and not self._is_unresponsive:
+                self._reply_losses.record_loss()
+            self._is_unresponsive = True
+            self._callbacks.on_unresponsive(self.worker_id)
+
+    def _grant_lease(self) -> int | None:
+        """Return the end of a lease granted now and report its expiry to the owner.
+
+        Returns None if no reading of the worker's clock is known.
+        """
+        if self._clock_reading is None:
             return None
         now_s = asyncio.get_running_loop().time()
-        lease_end_ms = self._clock.lease_end_ms(now_s, self._lease_s)
-        self._events.on_lease_extended(
-            self.worker_id, self._clock.lapse_s(lease_end_ms)
+        lease_end_ms = self._clock_reading.lease_end_ms(now_s, self._lease_s)
+        self._callbacks.on_lease_extended(
+            self.worker_id, self._clock_reading.lease_expiry_s(lease_end_ms)
         )
         return lease_end_ms
--- a/tests/test_cell_explain.py
+++ b/tests/test_cell_explain.py
@@ -1,4 +1,4 @@
-"""Three failed requests are explained from the log by the id alone."""
+"""Tests that the log explains a failed, a late and a preempted job, given its id."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 JOB = make_record().job_id
 
 
-def lines_of(decisions: list[Decision], start_s: float = 10.0) -> list[str]:
-    """Return the log lines of decisions, a millisecond apart."""
+def make_log_lines(decisions: list[Decision], start_s: float = 10.0) -> list[str]:
+    """Return the log lines of decisions, with timestamps one millisecond apart."""
     return [
         orjson.dumps(
             {
@@ -30,24 +30,24 @@
     ]
 
 
-def events(cell: Cell) -> list[str]:
+def collect_event_names(cell: Cell) -> list[str]:
     decisions, _ = cell.scheduler.decisions.pop_all()
-    return [line.event for line in collect_job_events(JOB, lines_of(decisions))]
+    return [line.event for line in collect_job_events(JOB, make_log_lines(decisions))]
 
 
-def test_job_that_failed_shows_each_failed_run_and_where():
+def test_history_of_failed_job_contains_the_end_of_each_run():
     cell = Cell(2, make_configuration(make_queue(max_attempts=2)))
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
     for _ in range(2):
         cell.plan_and_execute()
         cell.end_all_runs(EndKind.FAILED)
-    story = events(cell)
-    assert story.count("run_ended") == 2
-    assert story[-1] == "job_ended"
+    history = collect_event_names(cell)
+    assert history.count("run_ended") == 2
+    assert history[-1] == "job_ended"
 
 
-def test_job_that_was_late_shows_the_silence_of_its_worker():
+def test_history_of_late_job_contains_the_loss_of_its_worker():
     cell = Cell(1)
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
@@ -58,25 +58,27 @@
     cell.running["worker-0"].clear()
     cell.poll("worker-0")
     cell.plan_and_execute()
-    story = events(cell)
-    assert story.index("worker_silent") < story.index("lease_lapsed")
-    assert story.count("task_placed") == 2
+    history = collect_event_names(cell)
+    assert history.index("worker_silent") < history.index("lease_lapsed")
+    assert history.count("task_placed") == 2
 
 
-def test_run_that_was_broken_off_shows_the_reason():
+def test_history_of_preempted_run_contains_the_reason():
     cell = Cell(1, make_configuration(make_queue("urgent"), make_queue(priority=2)))
     cell.adopt_workers()
     cell.scheduler.accept(make_record(), 0.0)
     cell.plan_and_execute()
     cell.scheduler.preempt(cell.scheduler.jobs[JOB].tasks()[0].runs[0])
     decisions, _ = cell.scheduler.decisions.pop_all()
-    story = collect_job_events(JOB, lines_of(decisions))
-    assert story[-1].fields["reason"] == "preempted"
+    history = collect_job_events(JOB, make_log_lines(decisions))
+    assert history[-1].fields["reason"] == "preempted"
 
 
-def test_command_prints_the_story(tmp_path):
+def test_explain_command_prints_events_and_fails_for_unknown_job(tmp_path):
     log = tmp_path / "log"
-    log.write_text("\n".join(lines_of([Decision("job_accepted", JOB, {"queue": "q"})])))
+    log.write_text(
+        "\n".join(make_log_lines([Decision("job_accepted", JOB, {"queue": "q"})]))
+    )
     result = CliRunner().invoke(main, ["explain", JOB, str(log)])
     assert result.exit_code == 0
     assert "job_accepted" in result.output
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -1,4 +1,4 @@
-"""What callers are told, with the store and the configuration as they may be."""
+"""Tests the gateway's replies while the store or the configuration is unavailable."""
 
 from __future__ import annotations
 
@@ -25,79 +25,81 @@
 from tests.virtual_loop import run_virtually
 from tests.workflow_builders import make_configuration, make_queue, make_record
 
-JOB = make_record(1)
-PATH = f"/queue/{JOB.job_id}"
+RECORD = make_record(1)
+JOB_PATH = f"/queue/{RECORD.job_id}"
 
 
-class Source(ConfigurationSource):
-    """Gives one configuration, or fails."""
+class FakeConfigurationSource(ConfigurationSource):
+    """Configuration source with one configuration, which can be made unavailable."""
 
     def __init__(self, configuration: CellConfiguration) -> None:
         self.configuration = configuration
-        self.is_down = False
+        self.is_unavailable = False
 
     async def read(self) -> Result[ConfigurationReading, StoreFailure]:
-        """Return the configuration."""
-        if self.is_down:
+        """Return the configuration, or fail if unavailable."""
+        if self.is_unavailable:
             return Err(StoreFailure.UNAVAILABLE)
         return Ok(ConfigurationReading(self.configuration, 1))
 
     async def watch(
         self, position: int, wait_s: float
     ) -> Result[ConfigurationReading, StoreFailure]:
-        """Return the configuration after the wait."""
+        """Return the configuration, or fail, after the wait."""
         await asyncio.sleep(wait_s)
         return await self.read()
 
 
-class Front:
-    """A gateway without an owner."""
+class GatewayFixture:
+    """A gateway with a configuration and a store, but without an owner of the cell."""
 
     def __init__(self) -> None:
         public = make_queue("public", is_public=True)
-        self.source = Source(make_configuration(make_queue(), public))
+        self.source = FakeConfigurationSource(make_configuration(make_queue(), public))
         self.store = MemoryRowStore()
         self.watch = ConfigurationWatch(self.source, lambda configuration: None)
-        ownership = Ownership(self.store, "node", "1:1", _never, lambda epoch: None)
-        self.hints: list[str] = []
+        ownership = Ownership(
+            self.store, "node", "1:1", _refuse_takeover, lambda epoch: None
+        )
+        self.notified_keys: list[str] = []
         self.gateway = Gateway(
             self.watch,
             self.store,
             ownership,
             lambda: None,
             lambda job_id: None,
-            lambda key, value: self.hints.append(key),
+            lambda key, value: self.notified_keys.append(key),
             CellTerms().key_trust_s,
         )
 
     async def start(self) -> None:
-        """Learn the configuration."""
+        """Start to watch the configuration and wait until it is received."""
         self.task = asyncio.create_task(self.watch.run())
         await asyncio.sleep(0.01)
 
-    async def submit(self, path: str = PATH, key: str = "key") -> ErrorKind | None:
-        """Submit a job; return why it was refused, if it was."""
+    async def submit(self, path: str = JOB_PATH, key: str = "key") -> ErrorKind | None:
+        """Submit a job; return the kind of the error, or None if it is accepted."""
         outcome = await self.gateway.submit(
-            CallerRequest("host", path, key), Ok(JOB.specification)
+            CallerRequest("host", path, key), Ok(RECORD.specification)
         )
-        return kind_of(outcome)
+        return error_kind(outcome)
 
 
-async def _never(taking: object) -> bool:
+async def _refuse_takeover(taking: object) -> bool:
     return False
 
 
-def kind_of(outcome: Result[object, Refusal]) -> ErrorKind | None:
+def error_kind(outcome: Result[object, Refusal]) -> ErrorKind | None:
     return outcome.err_value.kind if isinstance(outcome, Err) else None
 
 
-def test_job_is_accepted_once_it_is_stored_and_a_repeat_is_the_same_job():
+def test_submitted_job_is_stored_once_and_its_resubmission_accepted():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        assert await front.submit() is None
-        assert await front.submit() is None
-        assert [write.key for write in front.store.applied_writes] == [JOB.job_id]
+        fixture = GatewayFixture()
+        await fixture.start()
+        assert await fixture.submit() is None
+        assert await fixture.submit() is None
+        assert [write.key for write in fixture.store.applied_writes] == [RECORD.job_id]
 
     run_virtually(main())
 
@@ -105,112 +107,123 @@
 @pytest.mark.parametrize(
     ("path", "key", "kind"),
     [
-        (PATH, "other", ErrorKind.UNAUTHENTICATED),
-        ("/nowhere/" + JOB.job_id, "key", ErrorKind.NOT_FOUND),
+        (JOB_PATH, "other", ErrorKind.UNAUTHENTICATED),
+        ("/nowhere/" + RECORD.job_id, "key", ErrorKind.NOT_FOUND),
         ("/queue/not-an-id", "key", ErrorKind.MALFORMED),
-        (f"/public/{JOB.job_id}", "", None),
+        (f"/public/{RECORD.job_id}", "", None),
     ],
 )
-def test_rights_and_names_are_checked(path: str, key: str, kind: ErrorKind | None):
+def test_submission_is_checked_for_api_key_queue_and_job_id(
+    path: str, key: str, kind: ErrorKind | None
+):
     async def main() -> None:
-        front = Front()
-        await front.start()
-        assert await front.submit(path, key) is kind
+        fixture = GatewayFixture()
+        await fixture.start()
+        assert await fixture.submit(path, key) is kind
 
     run_virtually(main())
 
 
-def test_nothing_is_accepted_before_a_configuration_is_known():
+def test_submission_is_refused_before_a_configuration_is_received():
     async def main() -> None:
-        front = Front()
-        assert await front.submit() is ErrorKind.CONFIG_STALE
+        fixture = GatewayFixture()
+        assert await fixture.submit() is ErrorKind.CONFIG_STALE
 
     run_virtually(main())
 
 
-def test_keys_are_not_trusted_once_the_configuration_was_not_confirmed_for_long():
+def test_api_keys_are_refused_when_the_configuration_is_stale():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        front.source.is_down = True
+        fixture = GatewayFixture()
+        await fixture.start()
+        fixture.source.is_unavailable = True
         await asyncio.sleep(4.5)
-        assert await front.submit() is ErrorKind.CONFIG_STALE
+        assert await fixture.submit() is ErrorKind.CONFIG_STALE
 
     run_virtually(main())
 
 
-def test_lost_answer_of_the_store_is_made_good_by_asking_again():
+def test_write_is_repeated_after_the_store_loses_a_reply():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        front.store.lost_answers = 1
-        assert await front.submit() is None
+        fixture = GatewayFixture()
+        await fixture.start()
+        fixture.store.lost_answers = 1
+        assert await fixture.submit() is None
 
     run_virtually(main())
 
 
-def test_outcome_that_stays_unknown_is_not_told_as_refused():
+def test_write_whose_outcome_stays_unknown_is_reported_as_unknown():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        front.store.lost_answers = 1
+        fixture = GatewayFixture()
+        await fixture.start()
+        fixture.store.lost_answers = 1
 
         async def lose(*args: object) -> Result[int, StoreFailure]:
             return Err(StoreFailure.UNKNOWN)
 
-        front.store.transact = lose  # type: ignore[method-assign,assignment]
-        assert await front.submit() is ErrorKind.OUTCOME_UNKNOWN
+        fixture.store.transact = lose  # type: ignore[method-assign,assignment]
+        assert await fixture.submit() is ErrorKind.OUTCOME_UNKNOWN
 
     run_virtually(main())
 
 
-def test_nothing_is_sent_to_a_store_that_is_known_not_to_answer():
+def test_submission_is_not_sent_to_a_store_that_does_not_respond():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        front.source.is_down = True
+        fixture = GatewayFixture()
+        await fixture.start()
+        fixture.source.is_unavailable = True
         await asyncio.sleep(1.2)
-        assert await front.submit() is ErrorKind.STORE_UNAVAILABLE
-        assert front.store.applied_writes == []
+        assert await fixture.submit() is ErrorKind.STORE_UNAVAILABLE
+        assert fixture.store.applied_writes == []
 
     run_virtually(main())
 
 
-def test_state_and_cancel_are_answered_from_the_store_without_an_owner():
+def test_job_state_and_cancellation_use_the_store_without_an_owner():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        call = CallerRequest("host", PATH, "key")
-        assert kind_of(await front.gateway.get_job_state(call)) is ErrorKind.NO_SUCH_JOB
-        await front.submit()
-        assert (await front.gateway.get_job_state(call)).unwrap() is JobState.QUEUED
-        assert isinstance(await front.gateway.cancel(call), Ok)
-        assert (await front.gateway.get_job_state(call)).unwrap() is JobState.CANCELLED
-        assert front.hints == [JOB.job_id, f"{JOB.job_id}/cancel"]
+        fixture = GatewayFixture()
+        await fixture.start()
+        request = CallerRequest("host", JOB_PATH, "key")
+        assert (
+            error_kind(await fixture.gateway.get_job_state(request))
+            is ErrorKind.NO_SUCH_JOB
+        )
+        await fixture.submit()
+        assert (
+            await fixture.gateway.get_job_state(request)
+        ).unwrap() is JobState.QUEUED
+        assert isinstance(await fixture.gateway.cancel(request), Ok)
+        assert (
+            await fixture.gateway.get_job_state(request)
+        ).unwrap() is JobState.CANCELLED
+        assert fixture.notified_keys == [RECORD.job_id, f"{RECORD.job_id}/cancel"]
 
     run_virtually(main())
 
 
-def test_recorded_final_state_is_shown_without_an_owner():
+def test_recorded_final_state_is_returned_without_an_owner():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        front.store.put(JOB_TABLE, JOB.job_id, encode(JOB))
+        fixture = GatewayFixture()
+        await fixture.start()
+        fixture.store.put(JOB_TABLE, RECORD.job_id, encode(RECORD))
         progress = encode(JobProgress(JobState.COMPLETED))
-        front.store.put(PROGRESS_TABLE, JOB.job_id, progress)
-        shown = await front.gateway.get_job_state(CallerRequest("host", PATH, "key"))
+        fixture.store.put(PROGRESS_TABLE, RECORD.job_id, progress)
+        shown = await fixture.gateway.get_job_state(
+            CallerRequest("host", JOB_PATH, "key")
+        )
         assert shown.unwrap() is JobState.COMPLETED
 
     run_virtually(main())
 
 
-def test_count_is_not_told_without_an_owner_that_knows_it():
+def test_pending_count_is_refused_without_an_owner():
     async def main() -> None:
-        front = Front()
-        await front.start()
-        call = CallerRequest("host", "/queue/", "key")
-        assert front.gateway.is_queue_path(call)
-        counted = await front.gateway.count_pending(call)
-        assert kind_of(counted) is ErrorKind.NO_OWNER
+        fixture = GatewayFixture()
+        await fixture.start()
+        request = CallerRequest("host", "/queue/", "key")
+        assert fixture.gateway.is_queue_path(request)
+        counted = await fixture.gateway.count_pending(request)
+        assert error_kind(counted) is ErrorKind.NO_OWNER
 
     run_virtually(main())
--- a/tests/test_cell_job_watch.py
+++ b/tests/test_cell_job_watch.py
@@ -1,4 +1,4 @@
-"""The owner learns of every stored job, also when the history is lost."""
+"""Tests that each stored job is delivered, also if the store loses its history."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from tests.virtual_loop import run_virtually
 
 
-def test_jobs_stored_while_the_history_was_lost_are_read_again():
+def test_table_is_read_again_after_the_store_lost_its_history():
     async def main() -> None:
         store = MemoryRowStore()
-        seen: list[str] = []
-        watch = JobWatch(store, 0, lambda key, value: seen.append(key))
+        received_keys: list[str] = []
+        watch = JobWatch(store, 0, lambda key, value: received_keys.append(key))
         asyncio.create_task(watch.run())
         store.put(JOB_TABLE, "a", b"1")
         await asyncio.sleep(0.2)
-        assert seen == ["a"]
+        assert received_keys == ["a"]
         store.is_history_lost = True
         store.put(JOB_TABLE, "b", b"1")
         await asyncio.sleep(0.5)
-        assert seen[-2:] == ["a", "b"]
+        assert received_keys[-2:] == ["a", "b"]
 
     run_virtually(main())
--- a/tests/test_cell_peers.py
+++ b/tests/test_cell_peers.py
@@ -1,4 +1,4 @@
-"""Calls between processes, over loopback."""
+"""Tests the remote procedure calls between processes over the loopback interface."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 ADDRESS = "127.0.0.1:0"
 
 IDLE_S = 6.0
-"""Seconds in which a server that counts keepalives closed the connection twice."""
+"""Seconds in which a server that limits keepalive pings closes the connection twice."""
 
 
-class SlowAdvisor(AdviceClient):
-    """Answers after a time that never comes in a test."""
+class UnresponsiveAdviceClient(AdviceClient):
+    """Advice client whose calls never return."""
 
     async def request_advice(
         self, step: StepName, worker_ids: tuple[str, ...], timeout_s: float
     ) -> Advice | None:
-        """Wait."""
+        """Wait until cancelled."""
         await asyncio.Event().wait()
         return None
 
 
-async def serve() -> tuple[object, PeerClient]:
+async def start_server_and_client() -> tuple[object, PeerClient]:
     handler = PeerCallbacks(
         lambda node, address, epoch, is_leaving: PeerStatus("i", True, epoch, 0.5),
         lambda job_id: (True, None),
         lambda key, value: True,
-        SlowAdvisor(),
+        UnresponsiveAdviceClient(),
     )
     for port in range(20100, 20200):
         try:
@@ -51,40 +51,40 @@
     raise RuntimeError("no free port")
 
 
-async def test_call_whose_channel_is_closed_by_another_gets_no_answer():
-    server, client = await serve()
-    standing = await client.sync("node", "1:1", 3, False)
-    assert standing is not None
-    assert standing.epoch == 3
-    pending = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
+async def test_call_gets_no_reply_when_another_task_closes_the_channel():
+    server, client = await start_server_and_client()
+    status = await client.sync("node", "1:1", 3, False)
+    assert status is not None
+    assert status.epoch == 3
+    call = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
     await asyncio.sleep(0.1)
     await client.close()
-    assert await pending is None
+    assert await call is None
     assert await client.sync("node", "1:1", 3, False) is not None
     await client.close()
     await server.stop(0)  # type: ignore[attr-defined]
 
 
-async def test_call_that_is_cancelled_itself_stays_cancelled():
-    server, client = await serve()
-    pending = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
+async def test_cancelled_call_raises_cancelled_error():
+    server, client = await start_server_and_client()
+    call = asyncio.create_task(client.request_advice(STEP, ("w",), 30.0))
     await asyncio.sleep(0.1)
-    pending.cancel()
-    outcome = await asyncio.gather(pending, return_exceptions=True)
+    call.cancel()
+    outcome = await asyncio.gather(call, return_exceptions=True)
     assert isinstance(outcome[0], asyncio.CancelledError)
     await client.close()
     await server.stop(0)  # type: ignore[attr-defined]
 
 
-async def test_keepalives_of_an_idle_peer_do_not_cost_it_its_connection(
+async def test_frequent_keepalives_of_idle_peer_do_not_close_the_connection(
     monkeypatch: pytest.MonkeyPatch,
 ):
-    server, client = await serve()
-    frequent = [
+    server, client = await start_server_and_client()
+    other_options = [
         (name, value) for name, value in peers.GRPC_OPTIONS if "time_ms" not in name
     ]
     monkeypatch.setattr(
-        peers, "GRPC_OPTIONS", [*frequent, ("grpc.keepalive_time_ms", 200)]
+        peers, "GRPC_OPTIONS", [*other_options, ("grpc.keepalive_time_ms", 200)]
     )
     assert await client.sync("node", "1:1", 3, False) is not None
     channel = client._channel
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -1,4 +1,4 @@
-"""How a worker is looked at, also while its answers are lost."""
+"""Tests how a link polls its worker, also while replies of the worker are lost."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 from tests.virtual_loop import run_virtually
 
 
-class Worker(WorkerClient):
-    """A worker whose answers can be lost; it is given time by the virtual loop."""
+class FakeWorker(WorkerClient):
+    """Worker client whose replies can be lost; it runs on the virtual event loop."""
 
     def __init__(self) -> None:
-        self.is_mute = False
-        self.waits_s: list[float] = []
+        self.is_unresponsive = False
+        self.poll_waits_s: list[float] = []
 
     async def poll(
         self, worker: WorkerAddress, request: PollRequest, timeout_s: float
     ) -> Result[WorkerReport, CallFailure]:
-        """Answer after the time that the look may wait, or not at all."""
-        self.waits_s.append(request.wait_s)
-        if self.is_mute:
+        """Reply after the poll's wait, or fail after the timeout if unresponsive."""
+        self.poll_waits_s.append(request.wait_s)
+        if self.is_unresponsive:
             await asyncio.sleep(timeout_s)
             return Err(CallFailure.NO_ANSWER)
         await asyncio.sleep(request.wait_s + 0.001)
@@ -51,7 +51,7 @@
     async def start(
         self, worker: WorkerAddress, request: StartRequest, timeout_s: float
     ) -> StartAnswer:
-        """Start nothing."""
+        """Fail, as these tests start no runs."""
         raise NotImplementedError
 
     async def stop(
@@ -62,7 +62,7 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Stop nothing."""
+        """Fail, as these tests stop no runs."""
         raise NotImplementedError
 
     async def set_pace(
@@ -74,84 +74,86 @@
         fencing_token: int,
         timeout_s: float,
     ) -> Result[None, CallFailure]:
-        """Change nothing."""
+        """Fail, as these tests pace no runs."""
         raise NotImplementedError
 
 
-class Watched:
-    """A busy link to a worker, and what it told its owner."""
+class LinkFixture:
+    """Link to a worker with runs, and a record of what it reported to the owner."""
 
-    def __init__(self, losses: ReplyLossTracker) -> None:
-        self.worker = Worker()
-        self.reports_s: list[float] = []
-        self.silences = 0
-        self.lease_ends_s: list[float] = []
-        events = LinkCallbacks(
-            lambda *args: self.reports_s.append(asyncio.get_running_loop().time()),
-            self._note_silence,
+    def __init__(self, reply_losses: ReplyLossTracker) -> None:
+        self.worker = FakeWorker()
+        self.report_times_s: list[float] = []
+        self.unresponsive_count = 0
+        self.lease_expiries_s: list[float] = []
+        callbacks = LinkCallbacks(
+            lambda *args: self.report_times_s.append(asyncio.get_running_loop().time()),
+            self._count_unresponsive,
             lambda worker_id: None,
-            lambda worker_id, ends_s: self.lease_ends_s.append(ends_s),
+            lambda worker_id, expiry_s: self.lease_expiries_s.append(expiry_s),
             lambda worker_id: None,
         )
         address = WorkerAddress("worker", "10.0.0.1:80")
-        self.link = WorkerLink(self.worker, address, 1, 6.0, events, losses)
+        self.link = WorkerLink(self.worker, address, 1, 6.0, callbacks, reply_losses)
         self.link.is_busy = True
         self.task = asyncio.create_task(self.link.run())
 
-    def _note_silence(self, worker_id: str) -> None:
-        self.silences += 1
+    def _count_unresponsive(self, worker_id: str) -> None:
+        self.unresponsive_count += 1
 
 
-def test_looks_are_short_for_a_while_after_an_answer_was_lost():
+def test_polls_are_shortened_for_a_while_after_a_lost_reply():
     async def main() -> None:
-        losses = ReplyLossTracker()
-        watched = Watched(losses)
+        reply_losses = ReplyLossTracker()
+        fixture = LinkFixture(reply_losses)
         await asyncio.sleep(2.0)
-        assert watched.worker.waits_s[-1] == POLL_WAIT_S
-        losses.record_loss()
+        assert fixture.worker.poll_waits_s[-1] == POLL_WAIT_S
+        reply_losses.record_loss()
         await asyncio.sleep(POLL_WAIT_S + 0.1)
-        assert watched.worker.waits_s[-1] == SHORT_POLL_WAIT_S
+        assert fixture.worker.poll_waits_s[-1] == SHORT_POLL_WAIT_S
         await asyncio.sleep(LOSS_MEMORY_S)
-        assert watched.worker.waits_s[-1] == POLL_WAIT_S
+        assert fixture.worker.poll_waits_s[-1] == POLL_WAIT_S
 
     run_virtually(main())
 
 
-def test_many_workers_are_not_looked_at_more_often():
+def test_polls_of_many_workers_are_not_shortened_after_a_lost_reply():
     async def main() -> None:
-        losses = ReplyLossTracker()
-        losses.worker_count = 176
-        losses.record_loss()
-        assert losses.limit_wait_s(POLL_WAIT_S) == POLL_WAIT_S
+        reply_losses = ReplyLossTracker()
+        reply_losses.worker_count = 176
+        reply_losses.record_loss()
+        assert reply_losses.limit_wait_s(POLL_WAIT_S) == POLL_WAIT_S
 
     run_virtually(main())
 
 
-def test_worker_that_answers_again_is_known_at_once():
+def test_worker_that_replies_again_is_reported_within_half_a_second():
     async def main() -> None:
-        watched = Watched(ReplyLossTracker())
+        fixture = LinkFixture(ReplyLossTracker())
         await asyncio.sleep(2.0)
-        watched.worker.is_mute = True
+        fixture.worker.is_unresponsive = True
         await asyncio.sleep(3.0)
-        assert watched.silences > 0
-        watched.worker.is_mute = False
-        back_s = asyncio.get_running_loop().time()
+        assert fixture.unresponsive_count > 0
+        fixture.worker.is_unresponsive = False
+        resumed_s = asyncio.get_running_loop().time()
         await asyncio.sleep(2.0)
-        first_s = next(at_s for at_s in watched.reports_s if at_s > back_s)
-        assert first_s - back_s < 0.5
+        first_report_s = next(
+            time_s for time_s in fixture.report_times_s if time_s > resumed_s
+        )
+        assert first_report_s - resumed_s < 0.5
 
     run_virtually(main())
 
 
-def test_leases_of_a_worker_that_stays_silent_lapse():
+def test_leases_of_unresponsive_worker_expire_and_are_renewed_afterwards():
     async def main() -> None:
-        watched = Watched(ReplyLossTracker())
+        fixture = LinkFixture(ReplyLossTracker())
         await asyncio.sleep(2.0)
-        watched.worker.is_mute = True
+        fixture.worker.is_unresponsive = True
         await asyncio.sleep(POLL_WAIT_S + lease_expiry_delay_s(6.0) + 1.0)
-        assert max(watched.lease_ends_s) < asyncio.get_running_loop().time()
-        watched.worker.is_mute = False
+        assert max(fixture.lease_expiries_s) < asyncio.get_running_loop().time()
+        fixture.worker.is_unresponsive = False
         await asyncio.sleep(2.0)
-        assert max(watched.lease_ends_s) > asyncio.get_running_loop().time()
+        assert max(fixture.lease_expiries_s) > asyncio.get_running_loop().time()
 
     run_virtually(main())
