--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -28,12 +28,12 @@
 
     Parameters
     ----------
-    local : AdviceClient
+    local_client : AdviceClient
         Client for the lane of this process's own machine.
     """
 
-    def __init__(self, local: AdviceClient) -> None:
-        self._clients: dict[str, AdviceClient] = {"": local}
+    def __init__(self, local_client: AdviceClient) -> None:
+        self._clients: dict[str, AdviceClient] = {"": local_client}
         self._busy_lanes: set[str] = set()
         self._paused_until_s: dict[str, float] = {}
 
--- a/src/fuchsiadale/cell/configuration_watch.py
+++ b/src/fuchsiadale/cell/configuration_watch.py
@@ -48,7 +48,7 @@
         self._on_change = on_change
         self._current: CellConfiguration | None = None
         self._confirmed_s: float | None = None
-        self._failures = 0
+        self._failure_count = 0
         self._position: int | None = None
 
     @property
@@ -66,7 +66,7 @@
     @property
     def is_failing(self) -> bool:
         """Whether the last read or watch failed."""
-        return self._failures > 0
+        return self._failure_count > 0
 
     async def run(self) -> None:
         """Read and watch the configuration until cancelled."""
@@ -85,9 +85,9 @@
                     await asyncio.sleep(RETRY_DELAY_S)
 
     def _process_reading(self, reading: ConfigurationReading, sent_s: float) -> None:
-        if self._failures >= OUTAGE_FAILURE_COUNT:
+        if self._failure_count >= OUTAGE_FAILURE_COUNT:
             log_message("dependency_regained", dependency="configuration")
-        self._failures = 0
+        self._failure_count = 0
         self._position = reading.position
         received = reading.configuration
         if received is not None and (
@@ -106,13 +106,13 @@
         if failure is StoreFailure.HISTORY_LOST:
             self._position = None
             return
-        self._failures += 1
-        if self._failures == OUTAGE_FAILURE_COUNT:
+        self._failure_count += 1
+        if self._failure_count == OUTAGE_FAILURE_COUNT:
             log_message(
                 "dependency_lost",
                 dependency="configuration",
                 reason=failure.value,
                 age_s=round(self.age_s, 3),
             )
-        is_outage = self._failures >= OUTAGE_FAILURE_COUNT
+        is_outage = self._failure_count >= OUTAGE_FAILURE_COUNT
         await asyncio.sleep(OUTAGE_RETRY_DELAY_S if is_outage else RETRY_DELAY_S)
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -398,7 +398,7 @@
     async def _pace(self, order: PaceRun) -> None:
         link = self._links.get(order.worker_id)
         if link is not None:
-            await link.set_pace(order)
+            await link.limit_pace(order)
 
     async def _ask(self, order: RequestAdvice) -> None:
         advice = None
--- a/src/fuchsiadale/cell/reply_loss_tracker.py
+++ b/src/fuchsiadale/cell/reply_loss_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks the replies lost recently on the way from any of the workers."""
+"""Shortens the polls of all workers after a reply of one of them was lost."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 """Wait of a shortened poll in seconds; bounds how long an ended run goes unnoticed."""
 
 MAX_SHORT_POLLS_PER_S = 100.0
-"""Most shortened polls per second to all workers, which use a tenth of a small core."""
+"""Maximum rate of shortened polls to all workers; uses a tenth of a small core."""
 
 
 class ReplyLossTracker:
     """Shortens the waits of polls while replies of workers are being lost.
 
-    The report of an ended run that is lost with its reply is then soon repeated.
+    A lost reply is noticed when its poll times out, some time after the poll's wait. With
+    shorter waits, the end of a run that was reported in it is known sooner.
 
     Attributes
     ----------
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -265,7 +265,7 @@
             return outcome.err_value is CallFailure.OTHER_BOOT
         return True
 
-    async def set_pace(self, order: PaceRun) -> None:
+    async def limit_pace(self, order: PaceRun) -> None:
         """Send an order to limit a run to a percentage of its full speed."""
         await self._workers.set_pace(
             self._address,
