--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -17,10 +17,10 @@
 """Factor by which a call may exceed its expected time; the service is at times slow."""
 
 NETWORK_MARGIN_S = 0.6
-"""Part of a call's timeout for the network, in seconds; 100 times the usual time."""
+"""Part of a call's timeout in seconds; 100 times the usual network time."""
 
-LANE_COOLDOWN_S = 1.0
-"""Time for which a lane is not used after a call without a reply, in seconds."""
+LANE_PAUSE_S = 1.0
+"""Time for which a lane is not used after a call without a successful reply, in s."""
 
 
 class AdvicePool:
@@ -33,21 +33,25 @@
     """
 
     def __init__(self, local_client: AdviceClient) -> None:
+        # The lane of this process's own machine has the empty name.
         self._clients: dict[str, AdviceClient] = {"": local_client}
         self._busy_lanes: set[str] = set()
         self._paused_until_s: dict[str, float] = {}
 
     @property
     def usable_lane_count(self) -> int:
-        """Number of lanes that are not paused, which limits the concurrent calls."""
+        """Number of idle and busy lanes that are not paused.
+
+        It is the maximum number of concurrent calls.
+        """
         return len(self._clients) - len(self._paused_lanes())
 
     def set_peers(self, clients: dict[str, AdviceClient]) -> None:
-        """Replace the clients of the peers' lanes, given by the peers' addresses."""
+        """Replace the clients of the peers' lanes; keys are the peers' addresses."""
         self._clients = {"": self._clients[""], **clients}
 
     async def request_advice(self, order: RequestAdvice) -> Advice | None:
-        """Return the advice, or None if no lane is idle or no reply arrives."""
+        """Return the advice, or None without an idle lane or a successful reply."""
         lane = self._find_idle_lane()
         if lane is None:
             return None
@@ -60,14 +64,14 @@
         finally:
             self._busy_lanes.discard(lane)
         if advice is None:
-            until_s = asyncio.get_running_loop().time() + LANE_COOLDOWN_S
+            until_s = asyncio.get_running_loop().time() + LANE_PAUSE_S
             self._paused_until_s[lane] = until_s
             log_message("advice_unanswered", lane=lane, step=str(order.step))
         return advice
 
     def _find_idle_lane(self) -> str | None:
-        unusable_lanes = self._busy_lanes | self._paused_lanes()
-        idle_lanes = [lane for lane in self._clients if lane not in unusable_lanes]
+        unavailable_lanes = self._busy_lanes | self._paused_lanes()
+        idle_lanes = [lane for lane in self._clients if lane not in unavailable_lanes]
         return idle_lanes[-1] if idle_lanes else None
 
     def _paused_lanes(self) -> set[str]:
--- a/src/fuchsiadale/cell/configuration_watch.py
+++ b/src/fuchsiadale/cell/configuration_watch.py
@@ -16,7 +16,10 @@
 from fuchsiadale.ports.rows import StoreFailure
 
 WATCH_WAIT_S = 1.0
-"""Seconds that one watch waits for a change; bounds the time between confirmations."""
+"""Seconds that one watch waits for a change.
+
+While the source responds, they bound the time between two confirmations.
+"""
 
 RETRY_DELAY_S = 0.1
 """Seconds before a failed read or watch is repeated."""
@@ -58,14 +61,20 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since it was last certain that no newer version existed."""
+        """Seconds since the current configuration was last known to be the newest.
+
+        The value is infinite if no configuration has been received.
+        """
         if self._confirmed_s is None:
             return float("inf")
         return asyncio.get_running_loop().time() - self._confirmed_s
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last read or watch failed."""
+        """Whether the last read or watch failed.
+
+        A watch that failed because the store lost its history does not count.
+        """
         return self._failure_count > 0
 
     async def run(self) -> None:
--- a/src/fuchsiadale/cell/event_log.py
+++ b/src/fuchsiadale/cell/event_log.py
@@ -46,7 +46,7 @@
 
     @property
     def queued_line_count(self) -> int:
-        """Number of queued lines that no write has taken yet."""
+        """Number of lines in the queue, without those of an unfinished write."""
         return len(self._lines)
 
     def install(self) -> None:
@@ -55,7 +55,7 @@
         eliot.add_destinations(self.enqueue)
 
     def enqueue(self, message: dict[str, Any]) -> None:
-        """Queue a message as a line, or count it as dropped if there are too many."""
+        """Queue a message, or drop it if the queue is full or the rate too high."""
         if (
             len(self._lines) >= MAX_QUEUED_LINES
             or self._lines_this_second >= MAX_LINES_PER_S
@@ -81,7 +81,7 @@
                 flush_count += 1
                 if flush_count * FLUSH_INTERVAL_S >= 1.0:
                     flush_count = 0
-                    self._log_dropped_lines()
+                    self._start_next_second()
                 self.flush()
         finally:
             self.flush()
@@ -104,7 +104,8 @@
             if self._unwritten:
                 return
 
-    def _log_dropped_lines(self) -> None:
+    def _start_next_second(self) -> None:
+        """Reset the rate limit and log how many lines were dropped."""
         self._lines_this_second = 0
         if self._dropped_count:
             dropped_count, self._dropped_count = self._dropped_count, 0
--- a/src/fuchsiadale/cell/explain.py
+++ b/src/fuchsiadale/cell/explain.py
@@ -18,7 +18,7 @@
         "stopping",
     }
 )
-"""Events of the cell that can explain what happened to any job at the time."""
+"""Events of the cell that can explain a job although they do not name it."""
 
 WORKER_EVENTS = frozenset(
     {
@@ -63,7 +63,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Parse a line of a log; return None if it is not one.
+    """Parse one line of text; return None if it is not a structured log line.
 
     Text before the first brace, such as a timestamp of another program, is ignored.
     """
@@ -85,8 +85,8 @@
 def collect_job_events(job_id: str, lines: Iterable[str]) -> list[LogLine]:
     """Return the lines of a job and those of related events, in order of time.
 
-    Related are the events of the cell, and of the workers that the job's lines name,
-    between the first and the last line of the job.
+    Related events are those in `CELL_EVENTS`, and those in `WORKER_EVENTS` of workers
+    that the job's lines name, logged between the job's first and last line.
     """
     parsed_lines = [line for line in map(parse_line, lines) if line is not None]
     job_lines = [line for line in parsed_lines if line.fields.get("job") == job_id]
--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -42,8 +42,8 @@
 WRITE_TIMEOUT_S = 1.2
 """Timeout of one write in seconds; two writes fit into the 3 s that a caller waits."""
 
-MAX_PENDING_AGE_S = 2.5
-"""Age in seconds from which the owner's counts of pending jobs are not reported.
+MAX_PENDING_COUNT_AGE_S = 2.5
+"""Age in seconds from which the owner's counts of pending jobs are not returned.
 
 It is the age that is promised for the counts, plus the duration of one call.
 """
@@ -77,11 +77,11 @@
     queue : Queue
         Queue that the path of the request selects.
     workspace : str
-        Name of the workspace that the API key belongs to; empty if there is none, which
-        only a public queue permits.
+        Name of the workspace that the API key belongs to; empty if the request has no
+        API key or an unknown one, which only a public queue accepts.
     path_suffix : str
-        Rest of the path after the queue's prefix: the job id, or empty if the request
-        names no job.
+        Rest of the path after the queue's prefix: empty, or the job id, which is not
+        validated yet.
     """
 
     queue: Queue
@@ -96,7 +96,10 @@
         """Process a row of the job table that was just stored."""
 
     def count_pending(self) -> dict[str, int]:
-        """Return the number of jobs of each queue of which no run has started."""
+        """Return the number of pending jobs, by queue.
+
+        A job is pending until its first run starts.
+        """
 
 
 class Gateway:
@@ -118,7 +121,9 @@
     notify_owner : callable
         Sends a stored row to the owner in another process without waiting for it.
     max_configuration_age_s : float
-        Age of the configuration above which API keys are not accepted, in seconds.
+        Age of the configuration above which it is stale, in seconds: API keys are not
+        accepted and unknown queues are reported as stale configuration. Public queues
+        accept requests at any age.
     """
 
     def __init__(
@@ -163,7 +168,7 @@
         return await self._store_job(record)
 
     async def get_job_state(self, request: CallerRequest) -> Result[JobState, Refusal]:
-        """Return the state of a job of the caller's workspace."""
+        """Return the state of a job of the caller's workspace or of no workspace."""
         authorization = self._authorize(request)
         if isinstance(authorization, Err):
             return authorization
@@ -199,7 +204,10 @@
         return Ok(None)
 
     async def count_pending(self, request: CallerRequest) -> Result[int, Refusal]:
-        """Return the number of jobs of a queue of which no run has started."""
+        """Return the number of pending jobs of a queue.
+
+        A job is pending until its first run starts.
+        """
         authorization = self._authorize(request)
         if isinstance(authorization, Err):
             return authorization
@@ -208,9 +216,12 @@
         if owner is not None:
             return Ok(owner.count_pending().get(queue, 0))
         status = self._ownership.owner_standing
-        is_fresh = self._ownership.standing_age_s < MAX_PENDING_AGE_S
+        is_fresh = self._ownership.standing_age_s < MAX_PENDING_COUNT_AGE_S
         if status is None or status.pending is None or not is_fresh:
-            return _refuse(ErrorKind.NO_OWNER, "no recent counts from the cell's owner")
+            return _refuse(
+                ErrorKind.NO_OWNER,
+                "the cell's owner has not recently reported how many jobs are pending",
+            )
         return Ok(status.pending.get(queue, 0))
 
     def is_queue_path(self, request: CallerRequest) -> bool:
@@ -233,15 +244,19 @@
             if age_s > self._max_configuration_age_s:
                 return _refuse(
                     ErrorKind.CONFIG_STALE,
-                    f"{age_s:.1f} s have passed since the configuration was confirmed",
+                    f"{age_s:.1f} s have passed since the configuration was confirmed,"
+                    " which is too long",
                 )
-            return _refuse(ErrorKind.NOT_FOUND, "no queue has this host and path")
+            return _refuse(
+                ErrorKind.NOT_FOUND, "no queue matches the host and path of the request"
+            )
         workspace = configuration.find_workspace_by_key(request.api_key)
         if not queue.is_public:
             if age_s > self._max_configuration_age_s:
                 return _refuse(
                     ErrorKind.CONFIG_STALE,
-                    f"{age_s:.1f} s have passed since the configuration was confirmed",
+                    f"{age_s:.1f} s have passed since the configuration was confirmed,"
+                    " which is too long",
                 )
             if workspace is None:
                 return _refuse(ErrorKind.UNAUTHENTICATED, "the API key is unknown")
@@ -268,8 +283,9 @@
     async def _create_row(self, write: RowWrite) -> Result[None, Refusal]:
         """Store a row unless its key exists; an existing row counts as success."""
         if self._configuration.is_failing:
-            # A write that is not sent has no effect, so the caller can safely be told
-            # that nothing was accepted.
+            # The configuration is read from the same store, which therefore does not
+            # respond. A write that is not sent has no effect, so the caller can safely
+            # be told that nothing was accepted.
             message = "the store does not respond; the change was not sent"
             return _refuse(ErrorKind.STORE_UNAVAILABLE, message)
         is_outcome_unknown = False
@@ -289,7 +305,10 @@
         if is_outcome_unknown:
             message = "the store did not confirm whether the change was stored"
             return _refuse(ErrorKind.OUTCOME_UNKNOWN, message)
-        return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store accepts no changes")
+        return _refuse(
+            ErrorKind.STORE_UNAVAILABLE,
+            "the store is unreachable or refuses the change; nothing was stored",
+        )
 
     def _forward_to_owner(self, key: str, value: bytes) -> None:
         owner = self._get_local_owner()
@@ -310,7 +329,7 @@
         return await self._read_job(job_id)
 
     async def _read_job(self, job_id: str) -> Result[JobView, Refusal]:
-        """Return a job as the store has it, if no reachable owner knows the job."""
+        """Return a job as stored; called when no reachable owner knows the job."""
         page = await self._store.read(JOB_TABLE, job_id, 2)
         if isinstance(page, Err):
             return _refuse(ErrorKind.STORE_UNAVAILABLE, "the store does not respond")
--- a/src/fuchsiadale/cell/job_watch.py
+++ b/src/fuchsiadale/cell/job_watch.py
@@ -12,7 +12,7 @@
 from fuchsiadale.ports.rows import RowStore, StoreFailure, TableRow
 
 JOB_WATCH_WAIT_S = 2.0
-"""Seconds that a watch waits for a change; a dead connection is noticed after it."""
+"""Seconds that a watch waits for a change; a dead connection is noticed afterwards."""
 
 STORE_RETRY_DELAY_S = 0.1
 """Seconds before a failed read or watch is repeated."""
@@ -29,7 +29,7 @@
         Version of the store up to which the owner knows the table.
     on_row : callable
         Called with the key and the content of each new row; all rows are repeated when
-        the table is read whole.
+        the table is read whole, and deleted rows are skipped.
     """
 
     def __init__(
--- a/src/fuchsiadale/cell/metrics.py
+++ b/src/fuchsiadale/cell/metrics.py
@@ -11,7 +11,10 @@
 )
 
 LATENCY_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0)
-"""Bucket bounds in seconds, from one reply of the store up to a caller's timeout."""
+"""Bucket bounds in seconds.
+
+They reach from the time of one reply of the store to beyond the 3 s that callers wait.
+"""
 
 
 class CellMetrics:
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -300,7 +300,7 @@
     def _note_report(self, worker_id: str, report: WorkerReport, sent_s: float) -> None:
         known = self._scheduler.workers.get(worker_id)
         if known is not None and known.started_ms not in (0, report.started_ms):
-            self._links[worker_id].reset_ends()
+            self._links[worker_id].reset_end_numbers()
         orders = self._scheduler.process_report(worker_id, report, sent_s)
         self._carry_out(orders)
         if known is not None:
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -191,7 +191,7 @@
         if standing is None:
             log_message("owner_silent", owner=owner.node, epoch=owner.epoch)
             await self._suspect(
-                owner, REFUSED_S if client.is_connection_refused else UNCHANGED_S
+                owner, REFUSED_S if client.is_unavailable else UNCHANGED_S
             )
             return
         if standing.epoch > owner.epoch:
--- a/src/fuchsiadale/cell/peers.py
+++ b/src/fuchsiadale/cell/peers.py
@@ -32,7 +32,10 @@
 from fuchsiadale.ports.task_workers import Advice, AdviceClient
 
 SYNC_TIMEOUT_S = 0.4
-"""Timeout of a sync call in seconds; forty times the usual response time."""
+"""Seconds after which a peer that does not reply to a sync call counts as unresponsive.
+
+They are forty times the usual response time.
+"""
 
 SHOW_JOB_TIMEOUT_S = 0.6
 """Timeout in seconds of asking the owner for a job; after it, the store is read."""
@@ -43,13 +46,14 @@
 If the call fails, the owner still receives the row through its watch of the store.
 """
 
-GRPC_OPTIONS = [
+# Options of the gRPC server and of the channels to peers.
+OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
     ("grpc.keepalive_timeout_ms", 1000),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
-    # By default a server treats frequent keepalive pings as an attack and closes the
-    # connection.
+    # 0 turns off the limit on pings. By default a server treats frequent keepalive
+    # pings as an attack and closes the connection.
     ("grpc.http2.max_ping_strikes", 0),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
@@ -74,10 +78,12 @@
     epoch : int
         Highest epoch that the process knows.
     renewed_age_s : float
-        Time since the process last renewed its ownership, in seconds.
+        Time since the process last renewed or took the ownership, in seconds; 0 if it
+        does not own the cell.
     pending : dict of str to int or None
-        Number of jobs of which no run has started, by queue; None if the process does
-        not own the cell.
+        Number of pending jobs, by queue; a job is pending until its first run starts.
+        None if the process does not own the cell or still reads the store after taking
+        it over.
     cannot_renew : bool
         Whether the store has rejected every transaction of the process for some time.
     """
@@ -107,7 +113,7 @@
 
 
 class PeerCallbacks:
-    """Functions that carry out the calls of peers.
+    """Functions and the advice client that carry out the calls of peers.
 
     Parameters
     ----------
@@ -152,7 +158,7 @@
     async def Sync(  # noqa: N802
         self, request: SyncRequest, context: RpcContext
     ) -> SyncReply:
-        """Receive a peer's status and reply with the status of this process."""
+        """Receive a peer's address and epoch; reply with the status of this process."""
         status = self._callbacks.sync(
             request.node, request.address, request.epoch, request.is_leaving
         )
@@ -232,7 +238,7 @@
     RuntimeError
         If the server cannot listen on the address.
     """
-    server = grpc.aio.server(options=GRPC_OPTIONS)
+    server = grpc.aio.server(options=OPTIONS)
     add_CellServicer_to_server(CellService(callbacks), server)
     server.add_insecure_port(address)
     await server.start()
@@ -251,7 +257,7 @@
     def __init__(self, address: str) -> None:
         self._address = address
         self._channel: grpc.aio.Channel | None = None
-        self._is_connection_refused = False
+        self._is_unavailable = False
 
     @property
     def address(self) -> str:
@@ -259,14 +265,18 @@
         return self._address
 
     @property
-    def is_connection_refused(self) -> bool:
-        """Whether the last call failed because nothing listens at the address."""
-        return self._is_connection_refused
+    def is_unavailable(self) -> bool:
+        """Whether the last completed call failed with the gRPC status UNAVAILABLE.
+
+        This usually means that nothing listens at the address. Calls that end because
+        the channel is closed do not count.
+        """
+        return self._is_unavailable
 
     async def sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
     ) -> PeerStatus | None:
-        """Send this process's status to the peer and return the peer's status.
+        """Send this process's address and known epoch; return the status of the peer.
 
         Returns None if the peer does not reply.
         """
@@ -287,7 +297,11 @@
         )
 
     async def wait_for_disconnect(self, timeout_s: float) -> None:
-        """Wait until the connection ends, but at most for `timeout_s` seconds."""
+        """Wait until the connection ends, but at most for `timeout_s` seconds.
+
+        Waits for the whole time if no channel is open, and returns at once if the
+        connection is not ready.
+        """
         channel = self._channel
         if channel is None:
             await asyncio.sleep(timeout_s)
@@ -297,7 +311,11 @@
             await asyncio.wait_for(state_change, timeout_s)
 
     async def show_job(self, job_id: str) -> JobView | None:
-        """Return a job, or None if the peer does not know it or does not reply."""
+        """Return a job from the peer that owns the cell.
+
+        Returns None if the peer does not own the cell, does not know the job or does
+        not reply.
+        """
         request = ShowJobRequest(job_id=job_id)
         reply = await self._call("ShowJob", request, SHOW_JOB_TIMEOUT_S)
         if reply is None or not reply.is_owner or not reply.is_known:
@@ -314,7 +332,7 @@
     ) -> Advice | None:
         """Call the advice service from the peer's machine.
 
-        Returns None if the peer or the advice service does not reply.
+        Returns None without a successful reply of the peer and of the advice service.
         """
         request = AdviseRequest(
             step=str(step), worker_ids=worker_ids, timeout_s=timeout_s
@@ -333,18 +351,18 @@
 
     async def _call(self, name: str, request: Any, timeout_s: float) -> Any:
         if self._channel is None:
-            self._channel = grpc.aio.insecure_channel(self._address, GRPC_OPTIONS)
+            self._channel = grpc.aio.insecure_channel(self._address, OPTIONS)
         channel = self._channel
         try:
             reply = await getattr(CellStub(channel), name)(request, timeout=timeout_s)
         except grpc.aio.AioRpcError as error:
-            self._is_connection_refused = error.code() is grpc.StatusCode.UNAVAILABLE
+            self._is_unavailable = error.code() is grpc.StatusCode.UNAVAILABLE
             is_unresponsive = error.code() is grpc.StatusCode.DEADLINE_EXCEEDED
             if is_unresponsive and self._channel is channel:
                 await self.close()
             return None
         except grpc.aio.UsageError:
-            # Another call has timed out and closed the channel.
+            # The channel was closed, by `close` or by another call that timed out.
             return None
         except asyncio.CancelledError:
             task = asyncio.current_task()
@@ -353,5 +371,5 @@
             # Closing the channel cancels the other calls on it; the tasks that made
             # those calls are not cancelled and get no reply.
             return None
-        self._is_connection_refused = False
+        self._is_unavailable = False
         return reply
--- a/src/fuchsiadale/cell/reply_loss_tracker.py
+++ b/src/fuchsiadale/cell/reply_loss_tracker.py
@@ -1,4 +1,4 @@
-"""Shortens the polls of all workers after a reply of one of them was lost."""
+"""Records lost replies of workers and limits the wait of polls after a loss."""
 
 from __future__ import annotations
 
@@ -8,17 +8,23 @@
 """Seconds for which a loss shortens polls; losses come in bursts of a few seconds."""
 
 SHORT_POLL_WAIT_S = 0.2
-"""Wait of a shortened poll in seconds; bounds how long an ended run goes unnoticed."""
+"""Shortest wait of a shortened poll in seconds.
+
+It limits the delay with which the end of a run is noticed after a lost reply.
+"""
 
 MAX_SHORT_POLLS_PER_S = 100.0
-"""Maximum rate of shortened polls to all workers; uses a tenth of a small core."""
+"""Maximum rate of shortened polls to all workers; uses a tenth of a small core.
+
+The wait of a shortened poll therefore grows with the number of workers.
+"""
 
 
 class ReplyLossTracker:
-    """Shortens the waits of polls while replies of workers are being lost.
+    """Limits the wait of polls for some seconds after a reply of any worker was lost.
 
-    A lost reply is noticed when its poll times out, some time after the poll's wait. With
-    shorter waits, the end of a run that was reported in it is known sooner.
+    A lost reply is noticed only when its poll times out, after the poll's wait. With
+    shorter waits, the next poll repeats sooner what the lost reply reported.
 
     Attributes
     ----------
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -34,10 +34,14 @@
 """
 
 POLL_WAIT_S = 0.8
-"""Seconds that a poll waits for a run to end; below a checkpoint interval of 1 s."""
+"""Seconds that a poll waits for a run to end.
+
+A report shows only the last checkpoint of a run. The wait is therefore shorter than the
+interval between checkpoints, which is 1 s.
+"""
 
 IDLE_POLL_WAIT_S = 2.0
-"""Seconds that a poll waits at a worker without runs; the longest wait allowed."""
+"""Seconds that a poll waits at a worker without runs; workers allow no longer wait."""
 
 POLL_TIMEOUT_MARGIN_S = 0.3
 """Seconds by which a poll's timeout exceeds its wait; 40 times the network time."""
@@ -64,7 +68,7 @@
 
 
 def lease_expiry_delay_s(max_lease_s: float) -> float:
-    """Return the time after which a lease that an owner grants has certainly expired.
+    """Return how long after its grant a lease has expired and its runs are killed.
 
     Parameters
     ----------
@@ -74,7 +78,7 @@
     Returns
     -------
     delay_s : float
-        Time from the grant until the runs that held the lease are killed, in seconds.
+        Time from the grant until the runs are certainly killed, in seconds.
     """
     return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
@@ -99,7 +103,10 @@
         return self.reading_ms + round(MS_PER_S * (now_s - self.received_s + lease_s))
 
     def lease_expiry_s(self, lease_end_ms: int) -> float:
-        """Return when a lease has certainly expired, on the event loop's clock."""
+        """Return when a lease has expired and its runs are certainly killed.
+
+        The time is on the event loop's clock, in seconds.
+        """
         remaining_s = (lease_end_ms - self.reading_ms) / MS_PER_S
         return self.received_s + remaining_s / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
@@ -115,11 +122,13 @@
         Called with each report and the time at which the poll was sent, in seconds on
         the event loop's clock.
     on_unresponsive : callable
-        Called each time a poll fails for a reason other than fencing or replacement.
+        Called each time a poll fails for a reason other than fencing or replacement; a
+        reply that reports another error counts as unresponsive, too.
     on_replaced : callable
         Called when a worker with another id answers at the address.
     on_lease_extended : callable
-        Called with the time at which the extended leases have certainly expired, in
+        Called when leases may be extended, before each poll or start and after a reply,
+        with the time at which they have expired and their runs are certainly killed, in
         seconds on the event loop's clock.
     on_fenced : callable
         Called when the worker rejects a call because it knows a higher fencing token.
@@ -150,7 +159,7 @@
     address : WorkerAddress
         Id and address of the worker.
     epoch : int
-        Fencing token of the owner.
+        Epoch of the owner, sent to the worker as the fencing token.
     max_lease_s : float
         Longest lease that the worker accepts, in seconds.
     callbacks : LinkCallbacks
@@ -193,12 +202,18 @@
         return self._address.worker_id
 
     def acknowledge(self, sequence_number: int) -> None:
-        """Acknowledge all ends up to a sequence number, which are now recorded."""
+        """Acknowledge all ends of runs up to a sequence number, from the next poll on.
+
+        The owner has recorded these ends.
+        """
         self._acknowledged_through = sequence_number
         self._ends_recorded.set()
 
-    def reset_ends(self) -> None:
-        """Forget which ends were acknowledged; a restarted worker numbers them anew."""
+    def reset_end_numbers(self) -> None:
+        """Forget which ends of runs were reported and acknowledged.
+
+        A restarted worker numbers the ends anew.
+        """
         self._acknowledged_through = 0
         self._reported_through = 0
 
@@ -251,10 +266,10 @@
         return StartOutcome.UNKNOWN
 
     async def stop(self, order: StopRun) -> bool:
-        """Send a stop order; return whether it needs no repetition.
+        """Send a stop order; return False if it must be sent again.
 
-        It needs none if the worker acknowledged it, or if another worker instance
-        answers at the address.
+        It need not be sent again if the worker acknowledged it, or if a worker with
+        another id answers at the address.
         """
         outcome = await self._workers.stop(
             self._address, order.task, order.run, self._epoch, CALL_TIMEOUT_S
@@ -330,9 +345,10 @@
             self._callbacks.on_unresponsive(self.worker_id)
 
     def _grant_lease(self) -> int | None:
-        """Return the end of a lease granted now and report its expiry to the owner.
+        """Return the end of a lease granted now, in milliseconds on the worker's clock.
 
-        Returns None if no reading of the worker's clock is known.
+        Reports to the owner when the lease has certainly expired. Returns None if no
+        reading of the worker's clock is known.
         """
         if self._clock_reading is None:
             return None
--- a/tests/test_cell_event_log.py
+++ b/tests/test_cell_event_log.py
@@ -31,7 +31,7 @@
         for number in range(MAX_LINES_PER_S + 10):
             log.enqueue(make_message(number))
         log.flush()
-        log._log_dropped_lines()
+        log._start_next_second()
     assert log.queued_line_count <= MAX_QUEUED_LINES
     written = b""
     os.set_blocking(read_end, False)
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -113,7 +113,7 @@
         (f"/public/{RECORD.job_id}", "", None),
     ],
 )
-def test_submission_is_checked_for_api_key_queue_and_job_id(
+def test_submission_needs_valid_api_key_unless_public_and_valid_queue_and_job_id(
     path: str, key: str, kind: ErrorKind | None
 ):
     async def main() -> None:
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -22,14 +22,12 @@
 
     def __init__(self) -> None:
         self.standing: PeerStatus | None = None
-        self.is_connection_refused = False
+        self.is_unavailable = False
         self.lost = asyncio.Event()
 
     async def sync(self, *args: object) -> PeerStatus | None:
         """Answer, or be silent for a while."""
-        await asyncio.sleep(
-            0.01 if self.standing or self.is_connection_refused else 0.5
-        )
+        await asyncio.sleep(0.01 if self.standing or self.is_unavailable else 0.5)
         return self.standing
 
     async def wait_for_disconnect(self, timeout_s: float) -> None:
@@ -40,7 +38,7 @@
     def die(self) -> None:
         """End; nothing listens from now on."""
         self.standing = None
-        self.is_connection_refused = True
+        self.is_unavailable = True
         self.lost.set()
 
     async def close(self) -> None:
--- a/tests/test_cell_peers.py
+++ b/tests/test_cell_peers.py
@@ -21,7 +21,11 @@
 ADDRESS = "127.0.0.1:0"
 
 IDLE_S = 6.0
-"""Seconds in which a server that limits keepalive pings closes the connection twice."""
+"""Seconds without calls.
+
+With pings every 200 ms, a server with the default limit closed two connections of a
+client in this time.
+"""
 
 
 class UnresponsiveAdviceClient(AdviceClient):
@@ -36,7 +40,7 @@
 
 
 async def start_server_and_client() -> tuple[object, PeerClient]:
-    handler = PeerCallbacks(
+    callbacks = PeerCallbacks(
         lambda node, address, epoch, is_leaving: PeerStatus("i", True, epoch, 0.5),
         lambda job_id: (True, None),
         lambda key, value: True,
@@ -44,7 +48,7 @@
     )
     for port in range(20100, 20200):
         try:
-            server = await start_peer_server(handler, f"127.0.0.1:{port}")
+            server = await start_peer_server(callbacks, f"127.0.0.1:{port}")
         except RuntimeError:
             continue
         return server, PeerClient(f"127.0.0.1:{port}")
@@ -81,10 +85,10 @@
 ):
     server, client = await start_server_and_client()
     other_options = [
-        (name, value) for name, value in peers.GRPC_OPTIONS if "time_ms" not in name
+        (name, value) for name, value in peers.OPTIONS if "time_ms" not in name
     ]
     monkeypatch.setattr(
-        peers, "GRPC_OPTIONS", [*other_options, ("grpc.keepalive_time_ms", 200)]
+        peers, "OPTIONS", [*other_options, ("grpc.keepalive_time_ms", 200)]
     )
     assert await client.sync("node", "1:1", 3, False) is not None
     channel = client._channel
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -31,7 +31,7 @@
 
 
 class FakeWorker(WorkerClient):
-    """Worker client whose replies can be lost; it runs on the virtual event loop."""
+    """Worker client that can simulate lost replies; its waits take virtual time."""
 
     def __init__(self) -> None:
         self.is_unresponsive = False
@@ -145,7 +145,7 @@
     run_virtually(main())
 
 
-def test_leases_of_unresponsive_worker_expire_and_are_renewed_afterwards():
+def test_leases_expire_while_worker_is_unresponsive_and_are_renewed_when_it_replies():
     async def main() -> None:
         fixture = LinkFixture(ReplyLossTracker())
         await asyncio.sleep(2.0)
