--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of test data, and a partition to run tests on."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.partition import Partition
-from fuchsiadale.decision.reconciliation import Reconciliation
+from fuchsiadale.decision.reconciliation import Reconciler
 from fuchsiadale.decision.reports import WorkerReport
 from fuchsiadale.decision.resources import Resources
 from fuchsiadale.decision.work import (
@@ -17,14 +17,16 @@
 )
 
 PARTITION = "general.0"
-SMALL = Resources(1000, 1024, 0, 1, 1)
-WORKER = Resources(8000, 16384, 0, 8, 64)
+SMALL_TASK_RESOURCES = Resources(1000, 1024, 0, 1, 1)
+"""Resources of a task that fits on an empty worker eight times."""
 
+WORKER_CAPACITY = Resources(8000, 16384, 0, 8, 64)
 
-def make_worker(
-    index: int, capacity: Resources = WORKER, fencing: bool = True
+
+def make_worker_info(
+    index: int, capacity: Resources = WORKER_CAPACITY, fencing: bool = True
 ) -> WorkerInfo:
-    """Return a worker of the test pool."""
+    """Return the description of a worker of the test pool."""
     return WorkerInfo(
         name=f"worker-{index}",
         pool="general",
@@ -40,7 +42,7 @@
     number: int = 0,
     kind: WorkKind = WorkKind.REQUEST,
     team: str = "guild",
-    resources: Resources = SMALL,
+    resources: Resources = SMALL_TASK_RESOURCES,
     tasks: int = 1,
     priority: Priority = Priority.NORMAL,
     idempotent: bool = True,
@@ -66,25 +68,25 @@
     )
 
 
-class PartitionBench:
-    """A partition whose workers are all adopted, on a clock of its own."""
+class PartitionHarness:
+    """A partition with its own manual clock and with all workers adopted."""
 
     def __init__(
-        self, workers: int = 3, capacity: Resources = WORKER, epoch: int = 1
+        self, workers: int = 3, capacity: Resources = WORKER_CAPACITY, epoch: int = 1
     ) -> None:
         self.clock = ManualClock(100.0)
-        infos = [make_worker(index, capacity) for index in range(workers)]
+        infos = [make_worker_info(index, capacity) for index in range(workers)]
         names = [info.name for info in infos]
         self.authority = Authority(self.clock, names, taken_over=False)
-        self.authority.lease_renewed(self.clock.now())
+        self.authority.record_lease_renewal(self.clock.now())
         self.partition = Partition(PARTITION, epoch, self.clock, self.authority)
-        self.reconciliation = Reconciliation(self.partition, self.clock)
+        self.reconciliation = Reconciler(self.partition, self.clock)
         self.reconciliation.set_workers(infos, names)
         for name in names:
             report = WorkerReport(clock_s=1.0, boot_id="boot-1")
-            self.reconciliation.adopted(name, report, self.clock.now())
+            self.reconciliation.process_adoption(name, report, self.clock.now())
 
     def advance(self, seconds: float) -> None:
-        """Let time pass while the member's lease is kept."""
+        """Advance the clock and renew the member lease."""
         self.clock.advance(seconds)
-        self.authority.lease_renewed(self.clock.now())
+        self.authority.record_lease_renewal(self.clock.now())
