--- a/src/fuchsiadale/peers/results.py
+++ b/src/fuchsiadale/peers/results.py
@@ -1,4 +1,4 @@
-"""Results on their way to the entries whose callers wait for them."""
+"""Queues of results for the members whose callers wait for them."""
 
 from __future__ import annotations
 
@@ -10,94 +10,120 @@
 
 from fuchsiadale.decision.views import WorkView
 
-Delivered = Callable[[], None]
+DeliveryCallback = Callable[[], None]
 
 
 @frozen
-class Collected:
-    """Results for one member.
+class CollectedResults:
+    """Results that one call of a member collects.
 
     Attributes
     ----------
-    through : int
-        Number of the last one; sent back to have them forgotten.
+    last_number : int
+        Sequence number of the last result added for the member, 0 if there was none;
+        the member sends it with its next call to acknowledge this result and all
+        earlier ones.
     views : list of WorkView
-        The results.
+        The unacknowledged results, oldest first.
     """
 
-    through: int
+    last_number: int
     views: list[WorkView]
 
 
 @frozen
-class _Parcel:
+class _UndeliveredResult:
+    """Result that a member has not acknowledged, with its sequence number."""
+
     number: int
     view: WorkView
-    delivered: Delivered
+    on_delivered: DeliveryCallback
 
 
 @define
 class _Outbox:
-    parcels: deque[_Parcel] = field(factory=deque)
-    count: int = 0
-    changed: asyncio.Event = field(factory=asyncio.Event)
+    """Unacknowledged results of one member.
+
+    Attributes
+    ----------
+    results : deque of _UndeliveredResult
+        The results, oldest first.
+    last_number : int
+        Sequence number of the last result added.
+    result_added : asyncio.Event
+        Set when a result is added.
+    """
+
+    results: deque[_UndeliveredResult] = field(factory=deque)
+    last_number: int = 0
+    result_added: asyncio.Event = field(factory=asyncio.Event)
 
 
 class ResultOutboxes:
-    """Keeps each result until the member that asked for it says it has it."""
+    """Keeps the results for each member until the member acknowledges them."""
 
     def __init__(self) -> None:
         self._outboxes: dict[str, _Outbox] = {}
 
     @property
     def pending_count(self) -> int:
-        """Number of results that have not been fetched."""
-        return sum(len(outbox.parcels) for outbox in self._outboxes.values())
+        """Number of results that have not been acknowledged."""
+        return sum(len(outbox.results) for outbox in self._outboxes.values())
 
-    def put(self, member: str, view: WorkView, delivered: Delivered) -> None:
-        """Keep a result for a member.
+    def add_result(
+        self, member: str, view: WorkView, on_delivered: DeliveryCallback
+    ) -> None:
+        """Keep a result for a member until the member acknowledges it.
 
         Parameters
         ----------
         member : str
-            The member whose caller waits.
+            Id of the member whose caller waits.
         view : WorkView
             The result.
-        delivered : callable
-            Called when the member has the result.
+        on_delivered : callable
+            Called when the member acknowledges the result.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
-        outbox.count += 1
-        outbox.parcels.append(_Parcel(outbox.count, view, delivered))
-        outbox.changed.set()
+        outbox.last_number += 1
+        outbox.results.append(
+            _UndeliveredResult(outbox.last_number, view, on_delivered)
+        )
+        outbox.result_added.set()
 
     async def collect(
         self, member: str, received_through: int, hold_s: float
-    ) -> Collected:
-        """Return the results that a member does not have, once there are any.
+    ) -> CollectedResults:
+        """Return the unacknowledged results of a member; wait if there are none.
 
         Parameters
         ----------
         member : str
-            The member that asks.
+            Id of the calling member.
         received_through : int
-            Number of the last result that it has.
+            Sequence number of the last result that the member has received; this and
+            all earlier ones are acknowledged.
         hold_s : float
-            Seconds to wait while there are none.
+            Longest time to wait for a result, in seconds.
+
+        Returns
+        -------
+        CollectedResults
+            The results; none if no result was added within `hold_s` seconds.
         """
         outbox = self._outboxes.setdefault(member, _Outbox())
-        while outbox.parcels and outbox.parcels[0].number <= received_through:
-            outbox.parcels.popleft().delivered()
-        if not outbox.parcels:
-            outbox.changed.clear()
+        while outbox.results and outbox.results[0].number <= received_through:
+            outbox.results.popleft().on_delivered()
+        if not outbox.results:
+            outbox.result_added.clear()
             try:
                 async with asyncio.timeout(hold_s):
-                    await outbox.changed.wait()
+                    await outbox.result_added.wait()
             except TimeoutError:
                 pass
-        views = [parcel.view for parcel in outbox.parcels]
-        return Collected(outbox.count, views)
+        views = [result.view for result in outbox.results]
+        return CollectedResults(outbox.last_number, views)
 
-    def forget(self, member: str) -> None:
-        """Drop the results of a member that is gone."""
+    def drop_member(self, member: str) -> None:
+        """Drop the results of a member that is gone, without calling `on_delivered`."""
         self._outboxes.pop(member, None)
