--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -26,7 +26,7 @@
     serve_peers,
 )
 from fuchsiadale.cell.rows import load_cell
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import CellTerms
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
 from fuchsiadale.ports.configuration_source import ConfigurationSource
 from fuchsiadale.ports.rows import RowStore
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -22,7 +22,7 @@
     WorkerRow,
     is_cancel_key,
 )
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import CellTerms
 from fuchsiadale.cell.worker_link import LinkEvents, WorkerLink, lapse_after_s
 from fuchsiadale.codec import decode
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
--- a/src/fuchsiadale/platform/settings.py
+++ b/src/fuchsiadale/platform/settings.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 from result import Err, Ok, Result
 
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import CellTerms
 
 SETTINGS_PATH_VARIABLE = "FUCHSIADALE_BOOT"
 DEFAULT_SETTINGS_PATH = "/etc/fuchsiadale/boot.conf"
--- a/tests/test_cell_daemon.py
+++ b/tests/test_cell_daemon.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from fuchsiadale.cell.daemon import CellDaemon, CellIdentity, CellSystems
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import CellTerms
 from tests.row_store import MemoryRowStore
 from tests.virtual_loop import run_virtually
 
--- a/tests/test_cell_terms.py
+++ b/tests/test_cell_time_bounds.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import CellTerms
 
 
 @pytest.mark.parametrize("revocation_s", [3.0, 5.0, 20.0])
