--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -16,9 +16,9 @@
     PROGRESS_TABLE,
     WORKER_TABLE,
     OwnerRow,
+    make_job_removal,
+    make_worker_write,
     read_owner,
-    removal_of,
-    worker_write,
 )
 from fuchsiadale.codec import encode
 from fuchsiadale.decision.workflow.jobs import Job, collect_progress
@@ -26,19 +26,19 @@
 from fuchsiadale.decision.workflow.tracked_worker import TrackedWorker
 from fuchsiadale.ports.rows import RowCondition, RowStore, RowWrite, StoreFailure
 
-RENEW_S = 0.45
+RENEWAL_INTERVAL_S = 0.45
 """Seconds between renewals; peers suspect an owner after three."""
 
-GATHER_S = 0.006
+BATCHING_DELAY_S = 0.006
 """Seconds for which events are gathered into one transaction."""
 
-RETRY_S = 0.15
+RETRY_DELAY_S = 0.15
 """Seconds before the store is tried again."""
 
-MAX_ENTRIES = 100
+MAX_TRANSACTION_ENTRIES = 100
 """Entries that the store takes in one transaction, the condition counted."""
 
-ROWS_OF_JOB = 3
+MAX_ROWS_PER_JOB = 3
 """Rows that a job can have: its acceptance, its progress and its cancellation."""
 
 MAX_JOBS_PER_COMMIT = 45
@@ -47,13 +47,13 @@
 MAX_WORKERS_PER_COMMIT = 45
 """Workers' rows of one transaction; the store takes 100 entries."""
 
-REFUSED_S = 0.25
+CANNOT_RENEW_AFTER_S = 0.25
 """Seconds of refusals after which an owner says that it cannot renew: two tries."""
 
 COMMIT_TIMEOUT_S = 0.8
 """Seconds until a transaction's outcome counts as unknown; a slow store's answer."""
 
-STOP_AFTER_S = 8.0
+MAX_RENEWAL_AGE_S = 8.0
 """Seconds without a renewal after which an owner stops: the longest outage borne."""
 
 
@@ -62,7 +62,7 @@
     """The last end that was processed, and the worker's life that it belongs to."""
 
     started_ms: int
-    number: int
+    sequence_number: int
 
 
 class Committer:
@@ -83,7 +83,7 @@
         Its present version.
     on_recorded : callable
         Called after a commit with the last recorded end of each worker.
-    on_deposed : callable
+    on_ownership_lost : callable
         Called once this process no longer owns the cell.
     """
 
@@ -94,15 +94,15 @@
         owner: OwnerRow,
         version: int,
         on_recorded: Callable[[dict[str, ProcessedEnd]], None],
-        on_deposed: Callable[[str], None],
+        on_ownership_lost: Callable[[str], None],
     ) -> None:
         self._store = store
         self._scheduler = scheduler
         self._owner = owner
         self._version = version
         self._on_recorded = on_recorded
-        self._on_deposed = on_deposed
-        self._wake = asyncio.Event()
+        self._on_ownership_lost = on_ownership_lost
+        self._commit_requested = asyncio.Event()
         self._renewed_s = asyncio.get_running_loop().time()
         self._failing_since_s: float | None = None
 
@@ -117,37 +117,39 @@
         if self._failing_since_s is None:
             return False
         now_s = asyncio.get_running_loop().time()
-        return now_s - self._failing_since_s > REFUSED_S
+        return now_s - self._failing_since_s > CANNOT_RENEW_AFTER_S
 
     @property
     def version(self) -> int:
         """The version of the owner's row."""
         return self._version
 
-    def wake(self) -> None:
+    def request_commit(self) -> None:
         """Record what has changed."""
-        self._wake.set()
+        self._commit_requested.set()
 
     async def run(self) -> None:
         """Record and renew until deposed."""
         while True:
-            if not self._has_changes():
+            if not self._has_urgent_changes():
                 try:
-                    await asyncio.wait_for(self._wake.wait(), self._until_renewal())
-                    await asyncio.sleep(GATHER_S)
+                    await asyncio.wait_for(
+                        self._commit_requested.wait(), self._get_time_until_renewal()
+                    )
+                    await asyncio.sleep(BATCHING_DELAY_S)
                 except TimeoutError:
                     pass
-            self._wake.clear()
+            self._commit_requested.clear()
             if not await self._commit():
                 return
 
-    def _has_changes(self) -> bool:
+    def _has_urgent_changes(self) -> bool:
         scheduler = self._scheduler
         return bool(scheduler.unrecorded_jobs) or any(
             worker.is_record_awaited for worker in scheduler.workers.values()
         )
 
-    def _workers_to_record(self) -> list[TrackedWorker]:
+    def _select_workers_to_record(self) -> list[TrackedWorker]:
         """Return the workers to write: first those that something waits for."""
         stale = [
             worker
@@ -157,24 +159,24 @@
         stale.sort(key=lambda worker: not worker.is_record_awaited)
         return stale[:MAX_WORKERS_PER_COMMIT]
 
-    def _expired(self, entries: int) -> list[Job]:
+    def _select_expired_jobs(self, max_entries: int) -> list[Job]:
         """Return the jobs whose rows can be removed by so many entries."""
         jobs = self._scheduler.expired_jobs.values()
-        return list(islice(jobs, max(0, entries // ROWS_OF_JOB)))
+        return list(islice(jobs, max(0, max_entries // MAX_ROWS_PER_JOB)))
 
-    def _until_renewal(self) -> float:
-        return max(0.0, RENEW_S - self.renewed_age_s)
+    def _get_time_until_renewal(self) -> float:
+        return max(0.0, RENEWAL_INTERVAL_S - self.renewed_age_s)
 
     async def _commit(self) -> bool:
         """Write one transaction; tell whether this process still owns the cell."""
         scheduler = self._scheduler
-        chosen = list(scheduler.unrecorded_jobs)[:MAX_JOBS_PER_COMMIT]
-        is_complete = len(chosen) == len(scheduler.unrecorded_jobs)
-        scheduler.unrecorded_jobs.difference_update(chosen)
-        jobs = [scheduler.jobs[job_id] for job_id in chosen]
-        states = {job.record.job_id: job.state for job in jobs}
-        workers = self._workers_to_record()
-        ends = {
+        job_ids = list(scheduler.unrecorded_jobs)[:MAX_JOBS_PER_COMMIT]
+        has_all_jobs = len(job_ids) == len(scheduler.unrecorded_jobs)
+        scheduler.unrecorded_jobs.difference_update(job_ids)
+        jobs = [scheduler.jobs[job_id] for job_id in job_ids]
+        states_by_job = {job.record.job_id: job.state for job in jobs}
+        workers = self._select_workers_to_record()
+        processed_ends = {
             worker_id: ProcessedEnd(worker.started_ms, worker.last_processed_end)
             for worker_id, worker in scheduler.workers.items()
         }
@@ -183,13 +185,17 @@
             RowWrite(PROGRESS_TABLE, job.record.job_id, encode(collect_progress(job)))
             for job in jobs
         ]
-        writes += [worker_write(worker) for worker in workers]
-        recorded = [list(worker.runs) for worker in workers]
-        retired = list(scheduler.retired_workers)[: MAX_ENTRIES - 1 - len(writes)]
-        writes += [RowWrite(WORKER_TABLE, worker_id, None) for worker_id in retired]
-        expired = self._expired(MAX_ENTRIES - 1 - len(writes))
-        for job in expired:
-            writes += removal_of(job)
+        writes += [make_worker_write(worker) for worker in workers]
+        recorded_runs = [list(worker.runs) for worker in workers]
+        retired_ids = list(scheduler.retired_workers)[
+            : MAX_TRANSACTION_ENTRIES - 1 - len(writes)
+        ]
+        writes += [RowWrite(WORKER_TABLE, worker_id, None) for worker_id in retired_ids]
+        expired_jobs = self._select_expired_jobs(
+            MAX_TRANSACTION_ENTRIES - 1 - len(writes)
+        )
+        for job in expired_jobs:
+            writes += make_job_removal(job)
         sent_s = asyncio.get_running_loop().time()
         outcome = await self._store.transact(
             tuple(writes),
@@ -197,45 +203,45 @@
             COMMIT_TIMEOUT_S,
         )
         if isinstance(outcome, Ok):
-            self._note_answer(True, "")
+            self._track_store_availability(True, "")
             self._version = outcome.ok_value
             self._renewed_s = sent_s
             for job in jobs:
-                job.recorded_state = states[job.record.job_id]
-            for worker, runs in zip(workers, recorded, strict=True):
+                job.recorded_state = states_by_job[job.record.job_id]
+            for worker, runs in zip(workers, recorded_runs, strict=True):
                 worker.note_recorded(runs)
-            scheduler.retired_workers.difference_update(retired)
-            for job in expired:
+            scheduler.retired_workers.difference_update(retired_ids)
+            for job in expired_jobs:
                 scheduler.expired_jobs.pop(job.record.job_id, None)
-            self._on_recorded(ends if is_complete else {})
+            self._on_recorded(processed_ends if has_all_jobs else {})
             return True
-        scheduler.unrecorded_jobs.update(chosen)
-        return await self._after_failure(outcome.err_value)
+        scheduler.unrecorded_jobs.update(job_ids)
+        return await self._handle_failure(outcome.err_value)
 
-    async def _after_failure(self, failure: StoreFailure) -> bool:
-        self._note_answer(False, failure.value)
+    async def _handle_failure(self, failure: StoreFailure) -> bool:
+        self._track_store_availability(False, failure.value)
         if failure in (StoreFailure.CONFLICT, StoreFailure.UNKNOWN):
             found = await read_owner(self._store)
             if isinstance(found, Ok):
                 stored = found.ok_value
                 if stored.row != self._owner:
-                    self._on_deposed("superseded")
+                    self._on_ownership_lost("superseded")
                     return False
                 self._version = stored.version
                 return True
-        if self.renewed_age_s > STOP_AFTER_S:
-            self._on_deposed("not_renewed")
+        if self.renewed_age_s > MAX_RENEWAL_AGE_S:
+            self._on_ownership_lost("not_renewed")
             return False
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_DELAY_S)
         return True
 
-    def _note_answer(self, is_answered: bool, reason: str) -> None:
+    def _track_store_availability(self, is_success: bool, reason: str) -> None:
         was_failing = self._failing_since_s is not None
-        if is_answered == was_failing:
+        if is_success == was_failing:
             now_s = asyncio.get_running_loop().time()
-            self._failing_since_s = None if is_answered else now_s
+            self._failing_since_s = None if is_success else now_s
             log_message(
-                "dependency_regained" if is_answered else "dependency_lost",
+                "dependency_regained" if is_success else "dependency_lost",
                 dependency="store",
                 reason=reason,
                 renewed_age_s=round(self.renewed_age_s, 3),
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -17,7 +17,7 @@
 from fuchsiadale.cell.metrics import CellMetrics
 from fuchsiadale.cell.owner import Owner
 from fuchsiadale.cell.owner_ports import OwnerPorts
-from fuchsiadale.cell.ownership import Ownership, Taking
+from fuchsiadale.cell.ownership import AcquiredOwnership, Ownership
 from fuchsiadale.cell.peers import (
     JobView,
     OwnerStanding,
@@ -25,8 +25,8 @@
     PeerHandler,
     serve_peers,
 )
-from fuchsiadale.cell.rows import load_cell
-from fuchsiadale.cell.time_bounds import CellTerms
+from fuchsiadale.cell.rows import load_stored_cell
+from fuchsiadale.cell.time_bounds import TimeBounds
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
 from fuchsiadale.ports.configuration_source import ConfigurationSource
 from fuchsiadale.ports.rows import RowStore
@@ -34,16 +34,16 @@
 from fuchsiadale.ports.worker_list import WorkerList
 from fuchsiadale.supervisor import Supervisor
 
-PEER_SILENCE_S = 3.0
+PEER_TIMEOUT_S = 3.0
 """Seconds after its last call from which a peer is not asked for advice."""
 
-LOAD_TRIES = 8
+MAX_LOAD_ATTEMPTS = 8
 """Times a new owner tries to read what is stored before it gives the cell up."""
 
-LOAD_RETRY_S = 0.2
+LOAD_RETRY_DELAY_S = 0.2
 """Seconds between two such tries."""
 
-PREDECESSOR_RETRY_S = 0.5
+PREDECESSOR_POLL_INTERVAL_S = 0.5
 """Seconds between two questions to a former owner whether it has ended."""
 
 METRICS_PORT = 9464
@@ -51,7 +51,7 @@
 
 
 @frozen
-class CellSystems:
+class CellDependencies:
     """What surrounds a process."""
 
     store: RowStore
@@ -62,7 +62,7 @@
 
 
 @frozen
-class CellIdentity:
+class ProcessIdentity:
     """Who a process is and where it listens.
 
     Attributes
@@ -82,46 +82,49 @@
 
     Parameters
     ----------
-    identity : CellIdentity
+    identity : ProcessIdentity
         Who it is.
-    systems : CellSystems
+    dependencies : CellDependencies
         What surrounds it.
-    terms : CellTerms
+    bounds : TimeBounds
         The deployment's bounds.
     """
 
     def __init__(
-        self, identity: CellIdentity, systems: CellSystems, terms: CellTerms
+        self,
+        identity: ProcessIdentity,
+        dependencies: CellDependencies,
+        bounds: TimeBounds,
     ) -> None:
         self._identity = identity
-        self._systems = systems
-        self.terms = terms
+        self._dependencies = dependencies
+        self.bounds = bounds
         self.metrics = CellMetrics()
         self._supervisor = Supervisor("cell")
-        self._advice = AdvicePool(systems.advisor)
-        self._peers: dict[str, PeerClient] = {}
-        self._peer_seen_s: dict[str, float] = {}
+        self._advice_pool = AdvicePool(dependencies.advisor)
+        self._peer_clients: dict[str, PeerClient] = {}
+        self._peer_last_sync_s: dict[str, float] = {}
         self._owner: Owner | None = None
         self._is_leaving = False
-        self._hints: set[asyncio.Task[None]] = set()
+        self._notify_tasks: set[asyncio.Task[None]] = set()
         self._configuration = ConfigurationWatch(
-            systems.configuration, self._apply_configuration
+            dependencies.configuration, self._apply_configuration
         )
         self._ownership = Ownership(
-            systems.store,
+            dependencies.store,
             identity.node,
             identity.peer_address,
-            self._begin,
-            lambda epoch: self._depose(f"epoch {epoch} exists"),
+            self._start_owner,
+            lambda epoch: self._handle_ownership_loss(f"epoch {epoch} exists"),
         )
         self.gateway = Gateway(
             self._configuration,
-            systems.store,
+            dependencies.store,
             self._ownership,
             lambda: self._owner,
-            self._show_owned,
+            self._find_owned_job,
             self._notify_owner,
-            terms.key_trust_s,
+            bounds.max_key_staleness_s,
         )
 
     @property
@@ -134,19 +137,22 @@
         """Whether the process takes new callers."""
         if self._is_leaving or self._configuration.current is None:
             return False
-        return self._configuration.age_s < self.terms.ready_age_s
+        return self._configuration.age_s < self.bounds.max_ready_staleness_s
 
     async def start(self) -> None:
         """Begin to answer peers and to follow the owner."""
         handler = PeerHandler(
-            self._sync, self._show_job, self._take_hint, self._systems.advisor
+            self._handle_sync,
+            self._handle_show_job,
+            self._handle_notify,
+            self._dependencies.advisor,
         )
         self._server = await serve_peers(handler, self._identity.peer_address)
         self._supervisor.start("configuration", self._configuration.run)
         self._supervisor.start("ownership", self._ownership.run)
-        self._supervisor.start("lanes", self._refresh_lanes)
+        self._supervisor.start("lanes", self._refresh_advice_peers)
 
-    async def leave(self) -> None:
+    async def begin_shutdown(self) -> None:
         """Stop being ready and give the cell up; calls are still answered."""
         self._is_leaving = True
         self._ownership.is_leaving = True
@@ -154,8 +160,8 @@
         owner, self._owner = self._owner, None
         if owner is not None:
             await owner.resign()
-            self._ownership.lose("leaving")
-        await asyncio.sleep(self.terms.leave_notice_s)
+            self._ownership.mark_lost("leaving")
+        await asyncio.sleep(self.bounds.unready_period_s)
 
     async def stop(self) -> None:
         """Close everything."""
@@ -167,74 +173,74 @@
 
     # Ownership
 
-    async def _begin(self, taking: Taking) -> bool:
+    async def _start_owner(self, acquired: AcquiredOwnership) -> bool:
         self.metrics.takeovers.labels("taken").inc()
-        for _ in range(LOAD_TRIES):
+        for _ in range(MAX_LOAD_ATTEMPTS):
             configuration = self._configuration.current
-            stored = await load_cell(self._systems.store)
+            stored = await load_stored_cell(self._dependencies.store)
             if configuration is not None and not isinstance(stored, Err):
                 break
-            await asyncio.sleep(LOAD_RETRY_S)
+            await asyncio.sleep(LOAD_RETRY_DELAY_S)
         else:
-            log_message("cell_unreadable", epoch=taking.row.epoch)
+            log_message("cell_unreadable", epoch=acquired.row.epoch)
             return False
         owner = Owner(
             OwnerPorts(
-                self._systems.store,
-                self._systems.workers,
-                self._systems.worker_list,
-                self._advice,
+                self._dependencies.store,
+                self._dependencies.workers,
+                self._dependencies.worker_list,
+                self._advice_pool,
             ),
-            taking.row,
-            taking.version,
-            self.terms,
+            acquired.row,
+            acquired.version,
+            self.bounds,
             self.metrics,
-            self._depose,
+            self._handle_ownership_loss,
         )
         self._owner = owner
-        owner.start(stored.ok_value, configuration, taking.previous is not None)
+        owner.start(stored.ok_value, configuration, acquired.previous_owner is not None)
         self.metrics.is_owner.set(1)
-        if taking.previous is not None:
-            previous = taking.previous
+        if acquired.previous_owner is not None:
+            previous_owner = acquired.previous_owner
             self._supervisor.start(
                 "predecessor",
-                lambda: self._await_predecessor(
-                    owner, previous.address, previous.incarnation
+                lambda: self._await_predecessor_stop(
+                    owner, previous_owner.address, previous_owner.incarnation
                 ),
             )
         return True
 
-    async def _await_predecessor(
+    async def _await_predecessor_stop(
         self, owner: Owner, address: str, incarnation: str
     ) -> None:
         """Learn when the former owner has stopped giving orders."""
         if address == self._identity.peer_address:
-            owner.note_predecessor_gone()
+            owner.note_predecessor_stopped()
             return
         client = PeerClient(address)
         try:
             while self._owner is owner:
-                standing = await client.sync(
+                status = await client.sync(
                     self._identity.node,
                     self._identity.peer_address,
                     owner.epoch,
                     self._is_leaving,
                 )
-                if standing is not None and (
-                    standing.incarnation != incarnation or not standing.is_owner
+                if status is not None and (
+                    status.incarnation != incarnation or not status.is_owner
                 ):
-                    owner.note_predecessor_gone()
+                    owner.note_predecessor_stopped()
                     return
-                await asyncio.sleep(PREDECESSOR_RETRY_S)
+                await asyncio.sleep(PREDECESSOR_POLL_INTERVAL_S)
         finally:
             await client.close()
 
-    def _depose(self, reason: str) -> None:
+    def _handle_ownership_loss(self, reason: str) -> None:
         owner, self._owner = self._owner, None
         if owner is None:
             return
         self.metrics.is_owner.set(0)
-        self._ownership.lose(reason)
+        self._ownership.mark_lost(reason)
         self._supervisor.start("deposed", owner.stop)
 
     def _apply_configuration(self, configuration: CellConfiguration) -> None:
@@ -243,18 +249,18 @@
 
     # Peers
 
-    def _sync(
+    def _handle_sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
     ) -> OwnerStanding:
         now_s = asyncio.get_running_loop().time()
         if is_leaving:
-            self._peer_seen_s.pop(address, None)
+            self._peer_last_sync_s.pop(address, None)
         else:
-            self._peer_seen_s[address] = now_s
+            self._peer_last_sync_s[address] = now_s
         self._ownership.note_epoch(epoch)
-        return self._standing()
+        return self._get_status()
 
-    def _standing(self) -> OwnerStanding:
+    def _get_status(self) -> OwnerStanding:
         ownership, owner = self._ownership, self._owner
         if owner is not None:
             return OwnerStanding(
@@ -270,19 +276,19 @@
             ownership.incarnation,
             ownership.is_owner,
             ownership.epoch,
-            ownership.taken_age_s if ownership.is_owner else 0.0,
+            ownership.ownership_age_s if ownership.is_owner else 0.0,
         )
 
-    def _show_job(self, job_id: str) -> tuple[bool, JobView | None]:
-        return self._owner is not None, self._show_owned(job_id)
+    def _handle_show_job(self, job_id: str) -> tuple[bool, JobView | None]:
+        return self._owner is not None, self._find_owned_job(job_id)
 
-    def _show_owned(self, job_id: str) -> JobView | None:
+    def _find_owned_job(self, job_id: str) -> JobView | None:
         job = self._owner.find_job(job_id) if self._owner is not None else None
         if job is None:
             return None
         return JobView(job.reported_state, job.record.workspace)
 
-    def _take_hint(self, key: str, value: bytes) -> bool:
+    def _handle_notify(self, key: str, value: bytes) -> bool:
         if self._owner is None:
             return False
         self._owner.take_row(key, value)
@@ -293,50 +299,50 @@
         if client is None:
             return
         task = asyncio.get_running_loop().create_task(client.notify(key, value))
-        self._hints.add(task)
-        task.add_done_callback(self._hints.discard)
+        self._notify_tasks.add(task)
+        task.add_done_callback(self._notify_tasks.discard)
 
-    async def _refresh_lanes(self) -> None:
+    async def _refresh_advice_peers(self) -> None:
         """Keep the lanes for advice to the peers that were heard from lately."""
         while True:
             now_s = asyncio.get_running_loop().time()
-            heard = {
+            active_addresses = {
                 address
-                for address, seen_s in self._peer_seen_s.items()
-                if now_s - seen_s < PEER_SILENCE_S
+                for address, last_sync_s in self._peer_last_sync_s.items()
+                if now_s - last_sync_s < PEER_TIMEOUT_S
             }
-            for address in heard - set(self._peers):
-                self._peers[address] = PeerClient(address)
-            for address in set(self._peers) - heard:
-                await self._peers.pop(address).close()
-            self._advice.set_peers(dict(self._peers))
+            for address in active_addresses - set(self._peer_clients):
+                self._peer_clients[address] = PeerClient(address)
+            for address in set(self._peer_clients) - active_addresses:
+                await self._peer_clients.pop(address).close()
+            self._advice_pool.set_peers(dict(self._peer_clients))
             self.metrics.configuration_age.set(self._configuration.age_s)
             await asyncio.sleep(0.5)
 
 
 @frozen
-class Listener:
+class HttpListener:
     """An HTTP listener: where, and what answers."""
 
     address: str
     handler: object
 
 
-class CellProcess:
+class DaemonRunner:
     """Runs a daemon with its listeners until it is told to stop.
 
     Parameters
     ----------
     daemon : CellDaemon
         The daemon.
-    listeners : list of Listener
+    listeners : list of HttpListener
         Its HTTP listeners; the first is the callers'.
     log : EventLog
         Where its lines go.
     """
 
     def __init__(
-        self, daemon: CellDaemon, listeners: list[Listener], log: EventLog
+        self, daemon: CellDaemon, listeners: list[HttpListener], log: EventLog
     ) -> None:
         self._daemon = daemon
         self._listeners = listeners
@@ -346,23 +352,23 @@
     async def run(self) -> None:
         """Serve until SIGTERM."""
         loop = asyncio.get_running_loop()
-        stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        stop_requested = asyncio.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, lambda: log_message("settings_kept"))
         log_task = loop.create_task(self._log.run())
         await self._daemon.start()
-        limit_s = self._daemon.terms.leave_limit_s
+        call_completion_s = self._daemon.bounds.call_completion_s
         for listener in self._listeners:
             ip, _, port = listener.address.rpartition(":")
             server = web.Server(listener.handler, access_log=None)  # type: ignore[arg-type]
-            runner = web.ServerRunner(server, shutdown_timeout=limit_s)
+            runner = web.ServerRunner(server, shutdown_timeout=call_completion_s)
             await runner.setup()
             await web.TCPSite(runner, ip, int(port), backlog=512).start()
             self._runners.append(runner)
         log_message("started")
-        await stop.wait()
-        await self._daemon.leave()
+        await stop_requested.wait()
+        await self._daemon.begin_shutdown()
         for runner in self._runners:
             await runner.cleanup()
         await self._daemon.stop()
@@ -370,7 +376,7 @@
         self._log.flush()
 
 
-async def answer_metrics(
+async def handle_metrics_request(
     metrics: CellMetrics, request: web.BaseRequest
 ) -> web.StreamResponse:
     """Answer with every metric as text."""
--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -18,7 +18,7 @@
     CANCEL_SUFFIX,
     JOB_TABLE,
     PROGRESS_TABLE,
-    job_write,
+    make_job_write,
     read_row,
 )
 from fuchsiadale.codec import decode
@@ -187,8 +187,8 @@
         owned = self._owned()
         if owned is not None:
             return Ok(owned.count_pending().get(queue, 0))
-        standing = self._ownership.owner_standing
-        is_fresh = self._ownership.standing_age_s < PENDING_AGE_S
+        standing = self._ownership.owner_status
+        is_fresh = self._ownership.owner_status_age_s < PENDING_AGE_S
         if standing is None or standing.pending is None or not is_fresh:
             return _refuse(ErrorKind.NO_OWNER, "no owner has told the counts lately")
         return Ok(standing.pending.get(queue, 0))
@@ -221,7 +221,7 @@
         return Ok(_Right(queue, workspace.name if workspace else "", name))
 
     async def _store_job(self, record: JobRecord) -> Result[None, Refusal]:
-        write = job_write(record)
+        write = make_job_write(record)
         stored = await self._put_once(write)
         log_message(
             "job_stored" if isinstance(stored, Ok) else "job_not_stored",
--- a/src/fuchsiadale/cell/job_watch.py
+++ b/src/fuchsiadale/cell/job_watch.py
@@ -8,7 +8,7 @@
 from eliot import log_message
 from result import Err
 
-from fuchsiadale.cell.rows import JOB_TABLE, read_all
+from fuchsiadale.cell.rows import JOB_TABLE, read_table
 from fuchsiadale.ports.rows import RowStore, StoreFailure, TableRow
 
 JOB_WATCH_S = 2.0
@@ -52,7 +52,7 @@
             self._version = changes.ok_value.version
 
     async def _read_again(self) -> None:
-        found = await read_all(self._store, JOB_TABLE)
+        found = await read_table(self._store, JOB_TABLE)
         if isinstance(found, Err):
             await asyncio.sleep(STORE_RETRY_S)
             return
--- a/src/fuchsiadale/cell/rows.py
+++ b/src/fuchsiadale/cell/rows.py
@@ -86,7 +86,7 @@
         ]
 
 
-def worker_write(worker: TrackedWorker) -> RowWrite:
+def make_worker_write(worker: TrackedWorker) -> RowWrite:
     """Return the write that records a worker for a successor."""
     row = WorkerRow(worker.entry, [f"{name}#{number}" for name, number in worker.runs])
     return RowWrite(WORKER_TABLE, worker.entry.worker_id, encode(row))
@@ -103,12 +103,12 @@
     version: int
 
 
-def job_write(record: JobRecord) -> RowWrite:
+def make_job_write(record: JobRecord) -> RowWrite:
     """Return the write that accepts a job."""
     return RowWrite(JOB_TABLE, record.job_id, encode(record))
 
 
-def removal_of(job: Job) -> list[RowWrite]:
+def make_job_removal(job: Job) -> list[RowWrite]:
     """Return the writes that remove every row of an ended job."""
     job_id = job.record.job_id
     writes = [RowWrite(JOB_TABLE, job_id, None), RowWrite(PROGRESS_TABLE, job_id, None)]
@@ -117,12 +117,12 @@
     return writes
 
 
-def is_cancel_key(key: str) -> bool:
+def is_cancellation_key(key: str) -> bool:
     """Tell whether a row of the job table is a cancellation."""
     return key.endswith(CANCEL_SUFFIX)
 
 
-async def read_all(
+async def read_table(
     store: RowStore, table: str, timeout_s: float = 2.0
 ) -> Result[tuple[tuple[TableRow, ...], int], StoreFailure]:
     """Return every row of a table and the version of the first page."""
@@ -176,27 +176,29 @@
     )
 
 
-async def load_cell(store: RowStore) -> Result[StoredCell, StoreFailure]:
+async def load_stored_cell(store: RowStore) -> Result[StoredCell, StoreFailure]:
     """Return everything that is stored of the cell's jobs and workers."""
-    jobs = await read_all(store, JOB_TABLE)
+    jobs = await read_table(store, JOB_TABLE)
     if isinstance(jobs, Err):
         return jobs
-    progress = await read_all(store, PROGRESS_TABLE)
+    progress = await read_table(store, PROGRESS_TABLE)
     if isinstance(progress, Err):
         return progress
-    workers = await read_all(store, WORKER_TABLE)
+    workers = await read_table(store, WORKER_TABLE)
     if isinstance(workers, Err):
         return workers
     rows, version = jobs.ok_value
     cancelled = frozenset(
-        row.key.removesuffix(CANCEL_SUFFIX) for row in rows if is_cancel_key(row.key)
+        row.key.removesuffix(CANCEL_SUFFIX)
+        for row in rows
+        if is_cancellation_key(row.key)
     )
     return Ok(
         StoredCell(
             tuple(
                 record
                 for row in rows
-                if not is_cancel_key(row.key)
+                if not is_cancellation_key(row.key)
                 if (record := decode(row.value, JobRecord).ok()) is not None
             ),
             {
--- a/src/fuchsiadale/platform/main.py
+++ b/src/fuchsiadale/platform/main.py
@@ -14,11 +14,11 @@
 from fuchsiadale.cell.daemon import (
     METRICS_PORT,
     CellDaemon,
-    CellIdentity,
-    CellProcess,
-    CellSystems,
-    Listener,
-    answer_metrics,
+    CellDependencies,
+    DaemonRunner,
+    HttpListener,
+    ProcessIdentity,
+    handle_metrics_request,
 )
 from fuchsiadale.cell.event_log import EventLog
 from fuchsiadale.platform.advice import PlatformAdviceClient
@@ -58,8 +58,8 @@
     client = HttpClient()
     store = PlatformRowStore(client, settings.store_address)
     daemon = CellDaemon(
-        CellIdentity(settings.node, f"{settings.ip}:{settings.peer_port}"),
-        CellSystems(
+        ProcessIdentity(settings.node, f"{settings.ip}:{settings.peer_port}"),
+        CellDependencies(
             store,
             PlatformWorkerClient(client),
             PlatformWorkerList(store),
@@ -70,16 +70,17 @@
     )
     ingress = Ingress(daemon.gateway, daemon.metrics, lambda: daemon.is_leaving)
     listeners = [
-        Listener(settings.callers_address, ingress.handle_request),
-        Listener(
+        HttpListener(settings.callers_address, ingress.handle_request),
+        HttpListener(
             settings.readiness_address,
             make_readiness_handler(lambda: daemon.is_ready),
         ),
-        Listener(
-            f"{settings.ip}:{METRICS_PORT}", partial(answer_metrics, daemon.metrics)
+        HttpListener(
+            f"{settings.ip}:{METRICS_PORT}",
+            partial(handle_metrics_request, daemon.metrics),
         ),
     ]
-    await CellProcess(daemon, listeners, log).run()
+    await DaemonRunner(daemon, listeners, log).run()
     await client.close()
 
 
--- a/src/fuchsiadale/platform/settings.py
+++ b/src/fuchsiadale/platform/settings.py
@@ -8,7 +8,7 @@
 from attrs import frozen
 from result import Err, Ok, Result
 
-from fuchsiadale.cell.time_bounds import CellTerms
+from fuchsiadale.cell.time_bounds import TimeBounds
 
 SETTINGS_PATH_VARIABLE = "FUCHSIADALE_BOOT"
 DEFAULT_SETTINGS_PATH = "/etc/fuchsiadale/boot.conf"
@@ -37,7 +37,7 @@
         ``ip:port`` of the advice service; empty if there is none.
     is_first_start : bool
         Whether this is the first start of the whole system.
-    bounds : CellTerms
+    bounds : TimeBounds
         Time bounds that the deployment sets: longest lease, key revocation, status
         retention and shutdown grace.
     """
@@ -50,7 +50,7 @@
     store_address: str
     advice_address: str
     is_first_start: bool
-    bounds: CellTerms
+    bounds: TimeBounds
 
 
 def get_settings_path() -> Path:
@@ -87,9 +87,9 @@
         store_address=fields["platform.address"],
         advice_address=fields.get("advice", ""),
         is_first_start=fields.get("is_first_start") == "true",
-        bounds=CellTerms(
+        bounds=TimeBounds(
             max_lease_s=_read_seconds(fields, "bounds.hold_max_ms", 6000.0),
-            revocation_s=_read_seconds(fields, "bounds.revoke_ms", 5000.0),
+            key_revocation_s=_read_seconds(fields, "bounds.revoke_ms", 5000.0),
             status_retention_s=float(fields.get("bounds.status_s", "120")),
             shutdown_grace_s=float(fields.get("bounds.grace_s", "6")),
         ),
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -6,14 +6,14 @@
 
 from result import Ok
 
-from fuchsiadale.cell.committer import STOP_AFTER_S, Committer, ProcessedEnd
+from fuchsiadale.cell.committer import MAX_RENEWAL_AGE_S, Committer, ProcessedEnd
 from fuchsiadale.cell.rows import (
     CANCEL_SUFFIX,
     CONTROL_TABLE,
     JOB_TABLE,
     OWNER_KEY,
     OwnerRow,
-    load_cell,
+    load_stored_cell,
     read_owner,
     write_owner,
 )
@@ -54,18 +54,18 @@
         cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         start = cell.plan()[0]
-        recording.committer.wake()
+        recording.committer.request_commit()
         await asyncio.sleep(0.1)
-        stored = (await load_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(recording.store)).unwrap()
         assert stored.workers[0].runs == [(start.task, start.run)]
         assert cell.scheduler.is_start_recorded(start)
         cell.execute([start])
         cell.end_all_runs()
-        recording.committer.wake()
+        recording.committer.request_commit()
         await asyncio.sleep(0.1)
-        stored = (await load_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(recording.store)).unwrap()
         assert stored.progress[make_record().job_id].state is JobState.COMPLETED
-        assert recording.recorded[-1]["worker-0"].number == 1
+        assert recording.recorded[-1]["worker-0"].sequence_number == 1
 
     run_virtually(main())
 
@@ -101,7 +101,7 @@
         recording = Recording()
         await asyncio.sleep(1.0)
         recording.store.is_down = True
-        await asyncio.sleep(STOP_AFTER_S - 1.0)
+        await asyncio.sleep(MAX_RENEWAL_AGE_S - 1.0)
         assert recording.deposed == []
         await asyncio.sleep(2.0)
         assert recording.deposed == ["not_renewed"]
@@ -133,7 +133,7 @@
             recording.store.put(JOB_TABLE, record.job_id, encode(record))
         cell.scheduler.cancel(make_record(0).job_id)
         recording.store.put(JOB_TABLE, make_record(0).job_id + CANCEL_SUFFIX, b"1")
-        recording.committer.wake()
+        recording.committer.request_commit()
         await asyncio.sleep(0.1)
         cell.clock.advance(99.0)
         cell.scheduler.expire_jobs(100.0)
@@ -141,7 +141,7 @@
         cell.clock.advance(2.0)
         cell.scheduler.expire_jobs(100.0)
         await asyncio.sleep(1.0)
-        stored = (await load_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(recording.store)).unwrap()
         assert [record.job_id for record in stored.records] == [make_record(1).job_id]
         assert stored.cancelled == frozenset()
         assert list(cell.scheduler.jobs) == [make_record(1).job_id]
@@ -157,7 +157,7 @@
         cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         cell.scheduler.cancel(make_record().job_id)
-        recording.committer.wake()
+        recording.committer.request_commit()
         await asyncio.sleep(0.1)
         recording.store.is_down = True
         cell.clock.advance(200.0)
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -11,7 +11,7 @@
 from fuchsiadale.cell.gateway import Call, Gateway
 from fuchsiadale.cell.ownership import Ownership
 from fuchsiadale.cell.rows import JOB_TABLE, PROGRESS_TABLE
-from fuchsiadale.cell.time_bounds import CellTerms
+from fuchsiadale.cell.time_bounds import TimeBounds
 from fuchsiadale.codec import encode
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
@@ -67,7 +67,7 @@
             lambda: None,
             lambda job_id: None,
             lambda key, value: self.hints.append(key),
-            CellTerms().key_trust_s,
+            TimeBounds().max_key_staleness_s,
         )
 
     async def start(self) -> None:
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -5,7 +5,11 @@
 import asyncio
 from contextlib import suppress
 
-from fuchsiadale.cell.ownership import UNCHANGED_S, Ownership, Taking
+from fuchsiadale.cell.ownership import (
+    SILENT_OWNER_TIMEOUT_S,
+    AcquiredOwnership,
+    Ownership,
+)
 from fuchsiadale.cell.peers import OwnerStanding
 from fuchsiadale.cell.rows import CONTROL_TABLE, OWNER_KEY, OwnerRow, read_owner
 from fuchsiadale.codec import encode
@@ -52,14 +56,14 @@
         self.store = MemoryRowStore()
         self.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
         self.peer = Peer()
-        self.taken: list[Taking] = []
+        self.taken: list[AcquiredOwnership] = []
         self.ownership = Ownership(
             self.store, "node", address, self.take, lambda epoch: None
         )
         self.ownership._make_client = lambda address: self.peer  # type: ignore[method-assign,assignment,return-value]
         self.task = asyncio.create_task(self.ownership.run())
 
-    async def take(self, taking: Taking) -> bool:
+    async def take(self, taking: AcquiredOwnership) -> bool:
         """Note that the cell was taken."""
         self.taken.append(taking)
         return True
@@ -109,9 +113,9 @@
 def test_silent_owner_that_does_not_renew_is_replaced_within_three_seconds():
     async def main() -> None:
         follower = Follower()
-        await asyncio.sleep(UNCHANGED_S)
+        await asyncio.sleep(SILENT_OWNER_TIMEOUT_S)
         assert follower.taken == []
-        await asyncio.sleep(3.0 - UNCHANGED_S)
+        await asyncio.sleep(3.0 - SILENT_OWNER_TIMEOUT_S)
         assert [taking.row.epoch for taking in follower.taken] == [5]
 
     run_virtually(main())
