--- a/src/fuchsiadale/cell/__init__.py
+++ b/src/fuchsiadale/cell/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that schedules jobs of steps on the users' platform."""
+"""Daemon of a scheduling cell, which runs jobs of several steps on workers."""
--- a/src/fuchsiadale/cell/boot_clock.py
+++ b/src/fuchsiadale/cell/boot_clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock goes on while the machine is suspended."""
+"""Event loop with a clock that includes the time while the machine is suspended."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """Reads CLOCK_BOOTTIME, so that leases lapse during a suspension."""
+    """Event loop on CLOCK_BOOTTIME, so that leases also lapse during a suspension."""
 
     def time(self) -> float:
         """Return seconds since the machine booted."""
@@ -15,5 +15,5 @@
 
 
 def unix_time_s() -> float:
-    """Return the time of day in Unix seconds; it may step."""
+    """Return the wall-clock time in Unix seconds, which may jump when it is set."""
     return time.clock_gettime(time.CLOCK_REALTIME)
--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -1,4 +1,4 @@
-"""Records the owner's progress and renews its ownership, in one transaction."""
+"""Commits the owner's progress and renews its ownership in the same transaction."""
 
 from __future__ import annotations
 
@@ -27,64 +27,86 @@
 from fuchsiadale.ports.rows import RowCondition, RowStore, RowWrite, StoreFailure
 
 RENEWAL_INTERVAL_S = 0.45
-"""Seconds between renewals; peers suspect an owner after three."""
+"""Seconds between two renewals of the ownership.
+
+Peers suspect an owner that misses three renewals.
+"""
 
 BATCHING_DELAY_S = 0.006
-"""Seconds for which events are gathered into one transaction."""
+"""Seconds for which changes are collected before they are committed together."""
 
 RETRY_DELAY_S = 0.15
-"""Seconds before the store is tried again."""
+"""Seconds before a failed transaction is retried."""
 
 MAX_TRANSACTION_ENTRIES = 100
-"""Entries that the store takes in one transaction, the condition counted."""
+"""Maximum number of writes and conditions that the store accepts per transaction."""
 
 MAX_ROWS_PER_JOB = 3
-"""Rows that a job can have: its acceptance, its progress and its cancellation."""
+"""Rows that a job can have: its record, its progress and its cancellation."""
 
 MAX_JOBS_PER_COMMIT = 45
-"""Progress rows of one transaction; the store takes 100 entries."""
+"""Maximum number of progress rows per transaction; the store accepts 100 entries."""
 
 MAX_WORKERS_PER_COMMIT = 45
-"""Workers' rows of one transaction; the store takes 100 entries."""
+"""Maximum number of worker rows per transaction; the store accepts 100 entries."""
 
 CANNOT_RENEW_AFTER_S = 0.25
-"""Seconds of refusals after which an owner says that it cannot renew: two tries."""
+"""Seconds of failures after which an owner reports that it cannot renew.
+
+Two attempts fail in this time.
+"""
 
 COMMIT_TIMEOUT_S = 0.8
-"""Seconds until a transaction's outcome counts as unknown; a slow store's answer."""
+"""Seconds after which the outcome of an unanswered transaction is unknown.
+
+A slow store takes up to this long to answer.
+"""
 
 MAX_RENEWAL_AGE_S = 8.0
-"""Seconds without a renewal after which an owner stops: the longest outage borne."""
+"""Seconds without a renewal after which an owner stops.
+
+This is the longest outage of the store that an owner outlasts.
+"""
 
 
 @frozen
 class ProcessedEnd:
-    """The last end that was processed, and the worker's life that it belongs to."""
+    """The last end of a run that the owner processed on a worker.
+
+    Attributes
+    ----------
+    started_ms : int
+        Start of the worker's incarnation that reported the end, in Unix milliseconds.
+    sequence_number : int
+        Number of the end among those of this incarnation.
+    """
 
     started_ms: int
     sequence_number: int
 
 
 class Committer:
-    """Writes what must be recorded, as long as this process owns the cell.
+    """Commits progress to the store as long as this process owns the cell.
 
-    Every transaction replaces the owner's row, so that one whose outcome is unknown
-    cannot take effect after a later one.
+    Every transaction replaces the owner's row, on the condition that its version is
+    unchanged. A transaction with an unknown outcome therefore cannot take effect after
+    a later one.
 
     Parameters
     ----------
     store : RowStore
-        Where it writes.
+        Store of the cell.
     scheduler : Scheduler
-        Whose progress it records.
+        Scheduler whose jobs and workers are recorded.
     owner : OwnerRow
-        The owner's row.
+        Row that names this process as the owner.
     version : int
-        Its present version.
+        Current version of the owner's row.
     on_recorded : callable
-        Called after a commit with the last recorded end of each worker.
+        Called after each commit with the last recorded end by worker id; empty if
+        some progress is not recorded yet.
     on_ownership_lost : callable
-        Called once this process no longer owns the cell.
+        Called with a reason when this process no longer owns the cell.
     """
 
     def __init__(
@@ -108,12 +130,12 @@
 
     @property
     def renewed_age_s(self) -> float:
-        """Seconds since the ownership was last renewed for certain."""
+        """Seconds since the last transaction that certainly renewed the ownership."""
         return asyncio.get_running_loop().time() - self._renewed_s
 
     @property
     def cannot_renew(self) -> bool:
-        """Whether the store has refused every transaction for some time."""
+        """Whether every transaction has failed for `CANNOT_RENEW_AFTER_S`."""
         if self._failing_since_s is None:
             return False
         now_s = asyncio.get_running_loop().time()
@@ -121,15 +143,15 @@
 
     @property
     def version(self) -> int:
-        """The version of the owner's row."""
+        """Version of the owner's row."""
         return self._version
 
     def request_commit(self) -> None:
-        """Record what has changed."""
+        """Commit changes soon, without waiting for the next renewal."""
         self._commit_requested.set()
 
     async def run(self) -> None:
-        """Record and renew until deposed."""
+        """Commit changes and renew the ownership until it is lost."""
         while True:
             if not self._has_urgent_changes():
                 try:
@@ -150,7 +172,7 @@
         )
 
     def _select_workers_to_record(self) -> list[TrackedWorker]:
-        """Return the workers to write: first those that something waits for."""
+        """Return the workers to record, first those that block a start order."""
         stale = [
             worker
             for worker in self._scheduler.workers.values()
@@ -160,7 +182,7 @@
         return stale[:MAX_WORKERS_PER_COMMIT]
 
     def _select_expired_jobs(self, max_entries: int) -> list[Job]:
-        """Return the jobs whose rows can be removed by so many entries."""
+        """Return expired jobs whose rows can be removed with at most `max_entries`."""
         jobs = self._scheduler.expired_jobs.values()
         return list(islice(jobs, max(0, max_entries // MAX_ROWS_PER_JOB)))
 
@@ -168,7 +190,7 @@
         return max(0.0, RENEWAL_INTERVAL_S - self.renewed_age_s)
 
     async def _commit(self) -> bool:
-        """Write one transaction; tell whether this process still owns the cell."""
+        """Commit one transaction; return whether the ownership may still hold."""
         scheduler = self._scheduler
         job_ids = list(scheduler.unrecorded_jobs)[:MAX_JOBS_PER_COMMIT]
         has_all_jobs = len(job_ids) == len(scheduler.unrecorded_jobs)
@@ -248,7 +270,7 @@
             )
 
     async def resign(self) -> None:
-        """Give the cell up in the store, so that a peer takes it at once."""
+        """Mark the owner's row as resigned, so that a peer takes over at once."""
         row = evolve(self._owner, has_resigned=True)
         outcome = await self._store.transact(
             (RowWrite(CONTROL_TABLE, OWNER_KEY, encode(row)),),
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -1,4 +1,4 @@
-"""One process of a cell: listens, follows the owner or is it."""
+"""Process of a cell, which serves callers and peers and may own the cell."""
 
 from __future__ import annotations
 
@@ -35,24 +35,38 @@
 from fuchsiadale.supervisor import Supervisor
 
 PEER_TIMEOUT_S = 3.0
-"""Seconds after its last call from which a peer is not asked for advice."""
+"""Seconds after its last sync call from which a peer is not asked for advice."""
 
 MAX_LOAD_ATTEMPTS = 8
-"""Times a new owner tries to read what is stored before it gives the cell up."""
+"""Attempts of a new owner to read the stored cell before it gives up the ownership."""
 
 LOAD_RETRY_DELAY_S = 0.2
-"""Seconds between two such tries."""
+"""Seconds between two of these attempts."""
 
 PREDECESSOR_POLL_INTERVAL_S = 0.5
-"""Seconds between two questions to a former owner whether it has ended."""
+"""Seconds between two calls to a former owner to learn whether it has stopped."""
 
 METRICS_PORT = 9464
-"""Port of the metrics address, as in the deploy file."""
+"""Port on which metrics are served, as given in the deployment file."""
 
 
 @frozen
 class CellDependencies:
-    """What surrounds a process."""
+    """Interfaces of the external systems that a process of a cell uses.
+
+    Attributes
+    ----------
+    store : RowStore
+        Store of jobs, their progress, the workers and the owner's row.
+    workers : WorkerClient
+        Sends orders to workers.
+    worker_list : WorkerList
+        Lists the registered workers.
+    configuration : ConfigurationSource
+        Provides the configuration and its changes.
+    advisor : AdviceClient
+        Requests advice from this machine.
+    """
 
     store: RowStore
     workers: WorkerClient
@@ -63,14 +77,14 @@
 
 @frozen
 class ProcessIdentity:
-    """Who a process is and where it listens.
+    """Name and peer address of a process of a cell.
 
     Attributes
     ----------
     node : str
-        Name of its machine.
+        Name of the machine that the process runs on.
     peer_address : str
-        ``ip:port`` for its peers.
+        ``ip:port`` on which the process listens for its peers.
     """
 
     node: str
@@ -78,16 +92,25 @@
 
 
 class CellDaemon:
-    """Wires one process of a cell.
+    """Connects the parts of one process of a cell and runs them.
 
     Parameters
     ----------
     identity : ProcessIdentity
-        Who it is.
+        Name and peer address of the process.
     dependencies : CellDependencies
-        What surrounds it.
+        Interfaces of the external systems.
     bounds : TimeBounds
-        The deployment's bounds.
+        Time bounds that the deployment sets.
+
+    Attributes
+    ----------
+    bounds : TimeBounds
+        Time bounds that the deployment sets.
+    metrics : CellMetrics
+        Metrics of the process.
+    gateway : Gateway
+        Handles the calls of callers.
     """
 
     def __init__(
@@ -115,7 +138,9 @@
             identity.node,
             identity.peer_address,
             self._start_owner,
-            lambda epoch: self._handle_ownership_loss(f"epoch {epoch} exists"),
+            lambda epoch: self._handle_ownership_loss(
+                f"a peer knows the higher epoch {epoch}"
+            ),
         )
         self.gateway = Gateway(
             self._configuration,
@@ -129,18 +154,18 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the process has been told to stop."""
+        """Whether the process is shutting down."""
         return self._is_leaving
 
     @property
     def is_ready(self) -> bool:
-        """Whether the process takes new callers."""
+        """Whether the process accepts new callers."""
         if self._is_leaving or self._configuration.current is None:
             return False
         return self._configuration.age_s < self.bounds.max_ready_staleness_s
 
     async def start(self) -> None:
-        """Begin to answer peers and to follow the owner."""
+        """Start to serve peers, to watch the configuration and to monitor the owner."""
         handler = PeerHandler(
             self._handle_sync,
             self._handle_show_job,
@@ -153,7 +178,7 @@
         self._supervisor.start("lanes", self._refresh_advice_peers)
 
     async def begin_shutdown(self) -> None:
-        """Stop being ready and give the cell up; calls are still answered."""
+        """End readiness, resign as the owner, and keep answering calls for a while."""
         self._is_leaving = True
         self._ownership.is_leaving = True
         log_message("stopping", is_owner=self._owner is not None)
@@ -164,7 +189,7 @@
         await asyncio.sleep(self.bounds.unready_period_s)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop all tasks and the server for peers."""
         if self._owner is not None:
             await self._owner.stop()
         await self._supervisor.stop()
@@ -213,7 +238,7 @@
     async def _await_predecessor_stop(
         self, owner: Owner, address: str, incarnation: str
     ) -> None:
-        """Learn when the former owner has stopped giving orders."""
+        """Poll the former owner until it has stopped sending orders."""
         if address == self._identity.peer_address:
             owner.note_predecessor_stopped()
             return
@@ -271,7 +296,8 @@
                 owner.count_pending(),
                 owner.cannot_renew,
             )
-        # A process that has taken the cell owns it while it still reads the store.
+        # A process that has acquired the ownership already owns the cell while it still
+        # loads the stored state.
         return OwnerStanding(
             ownership.incarnation,
             ownership.is_owner,
@@ -303,7 +329,7 @@
         task.add_done_callback(self._notify_tasks.discard)
 
     async def _refresh_advice_peers(self) -> None:
-        """Keep the lanes for advice to the peers that were heard from lately."""
+        """Request advice only through peers that called within `PEER_TIMEOUT_S`."""
         while True:
             now_s = asyncio.get_running_loop().time()
             active_addresses = {
@@ -322,23 +348,31 @@
 
 @frozen
 class HttpListener:
-    """An HTTP listener: where, and what answers."""
+    """Address and request handler of an HTTP server.
+
+    Attributes
+    ----------
+    address : str
+        ``ip:port`` to listen on.
+    handler : object
+        Request handler for `aiohttp.web.Server`.
+    """
 
     address: str
     handler: object
 
 
 class DaemonRunner:
-    """Runs a daemon with its listeners until it is told to stop.
+    """Runs a daemon and its HTTP servers until a signal stops them.
 
     Parameters
     ----------
     daemon : CellDaemon
-        The daemon.
+        Daemon to run.
     listeners : list of HttpListener
-        Its HTTP listeners; the first is the callers'.
+        HTTP servers to run; the first one serves callers.
     log : EventLog
-        Where its lines go.
+        Log that is written in the background and flushed at the end.
     """
 
     def __init__(
@@ -350,7 +384,7 @@
         self._runners: list[web.ServerRunner] = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM."""
+        """Serve until SIGTERM or SIGINT arrives."""
         loop = asyncio.get_running_loop()
         stop_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -379,5 +413,5 @@
 async def handle_metrics_request(
     metrics: CellMetrics, request: web.BaseRequest
 ) -> web.StreamResponse:
-    """Answer with every metric as text."""
+    """Return the response that contains all metrics as text."""
     return web.Response(body=metrics.render(), content_type="text/plain")
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of the process that owns the cell."""
+"""Schedules the jobs of a cell in the process that owns the cell."""
 
 from __future__ import annotations
 
@@ -45,44 +45,44 @@
 from fuchsiadale.supervisor import Supervisor
 
 TICK_INTERVAL_S = 0.2
-"""Seconds between two looks at what only time decides."""
+"""Seconds between two checks for timeouts and due steps."""
 
 PLAN_DELAY_S = 0.003
-"""Seconds for which events are gathered before a plan."""
+"""Seconds for which events are collected before a plan is made."""
 
 PLAN_PAUSE_FACTOR = 1.5
-"""Times its own duration that a plan is followed by a pause: two fifths of a core."""
+"""Pause after a plan relative to its duration; limits planning to 2/5 of a core."""
 
 WORKER_LIST_INTERVAL_S = 0.6
-"""Seconds between two readings of the registered workers; a third of a drain."""
+"""Seconds between two reads of the worker list: a third of a worker's drain time."""
 
 EXPIRY_INTERVAL_S = 5.0
-"""Seconds between two searches for ended jobs to forget."""
+"""Seconds between two searches for ended jobs to remove."""
 
 STOP_RETRY_DELAY_S = 0.25
-"""Seconds before a stop without an answer is sent again."""
+"""Seconds before a stop order that was not acknowledged is sent again."""
 
 TAKEOVER_MARGIN_S = 0.5
-"""Seconds added to the wait for a former owner's leases; orders on their way."""
+"""Seconds added to a former owner's leases, for its orders that are in transit."""
 
 
 class Owner:
-    """Schedules the cell from the moment it was taken until it is lost.
+    """Schedules the jobs of a cell from acquiring the ownership until losing it.
 
     Parameters
     ----------
     ports : OwnerPorts
-        What it talks to.
+        Interfaces of the systems that the owner uses.
     row : OwnerRow
-        Its row in the store.
+        Stored row that names this process as the owner.
     version : int
-        That row's version.
+        Version of that row.
     bounds : TimeBounds
-        What the platform promises and asks for.
+        Time bounds that the deployment sets.
     metrics : CellMetrics
-        Counters and histograms.
+        Metrics of the process.
     on_ownership_lost : callable
-        Called once when the cell is lost.
+        Called once, with a reason, if the ownership is lost.
     """
 
     def __init__(
@@ -121,28 +121,28 @@
 
     @property
     def epoch(self) -> int:
-        """The fencing token of its orders."""
+        """Fencing token of the owner's orders."""
         return self._row.epoch
 
     @property
     def renewed_age_s(self) -> float:
-        """Seconds since the ownership was last renewed."""
+        """Seconds since the ownership was last certainly renewed."""
         return self._committer.renewed_age_s
 
     @property
     def cannot_renew(self) -> bool:
-        """Whether the store has refused it for some time."""
+        """Whether the store has refused all renewals for some time."""
         return self._committer.cannot_renew
 
     def count_pending(self) -> dict[str, int]:
-        """Return how many accepted jobs of each queue have started nothing.
+        """Return the number of jobs that have not started any run, by queue.
 
-        The counts are as old as the last tick at most.
+        The counts are at most `TICK_INTERVAL_S` old.
         """
         return self._pending_counts
 
     def find_job(self, job_id: str) -> Job | None:
-        """Return a job, or None if it is not known here."""
+        """Return a job, or None if this owner does not know it."""
         return self._scheduler.jobs.get(job_id)
 
     def start(
@@ -151,7 +151,7 @@
         configuration: CellConfiguration,
         has_predecessor: bool,
     ) -> None:
-        """Recover what is stored and begin to schedule."""
+        """Recover the stored state and start to schedule."""
         now_unix_s = unix_time_s()
         self._scheduler.apply_configuration(configuration)
         for record in sorted(stored.records, key=lambda item: item.accepted_s):
@@ -181,43 +181,42 @@
         )
 
     def _restore_runs(self, workers: tuple[WorkerRow, ...]) -> None:
-        lease_ends_s = (
-            LoopClock().now() + MAX_RENEWAL_AGE_S + self._max_predecessor_lease_s
-        )
+        """Restore recorded runs as if the former owner renewed them to its very end."""
+        lease_ends_s = LoopClock().now() + MAX_RENEWAL_AGE_S + self._predecessor_lease_s
         for row in workers:
             worker_id = row.entry.worker_id
             self._scheduler.restore_runs(worker_id, row.runs, lease_ends_s)
 
     @property
-    def _max_predecessor_lease_s(self) -> float:
-        """Seconds after its last order in which a predecessor's runs have ended."""
+    def _predecessor_lease_s(self) -> float:
+        """Seconds from a former owner's last order until all its runs have ended."""
         return lapse_after_s(self._bounds.max_lease_s) + TAKEOVER_MARGIN_S
 
     async def stop(self) -> None:
-        """Stop giving orders at once."""
+        """Stop sending orders, also those in progress."""
         self._is_stopped = True
-        for call in list(self._call_tasks):
-            call.cancel()
+        for task in list(self._call_tasks):
+            task.cancel()
         await self._supervisor.stop()
 
     async def resign(self) -> None:
-        """Stop giving orders, record what is known and give the cell up."""
+        """Stop issuing orders and resign, so that a peer takes over at once."""
         self._is_stopped = True
         await self._supervisor.stop()
         await self._committer.resign()
 
     def apply_configuration(self, configuration: CellConfiguration) -> None:
-        """Work under a newer configuration."""
+        """Apply a new configuration and plan again."""
         self._scheduler.apply_configuration(configuration)
         self._plan_requested.set()
 
     def note_predecessor_stopped(self) -> None:
-        """Note that the former owner has surely stopped giving orders."""
-        lease_ends_s = LoopClock().now() + self._max_predecessor_lease_s
+        """Bound the leases of the former owner, which has certainly stopped."""
+        lease_ends_s = LoopClock().now() + self._predecessor_lease_s
         self._scheduler.bound_predecessor_leases(lease_ends_s)
 
     def take_row(self, key: str, value: bytes) -> None:
-        """Take a stored row of the job table in, also ahead of the watch."""
+        """Process a row of the job table, which the watch may deliver again later."""
         if is_cancellation_key(key):
             self._scheduler.cancel(key.removesuffix(CANCEL_SUFFIX))
             self._execute_orders(self._scheduler.pop_orders())
@@ -230,8 +229,6 @@
             self._scheduler.accept(record.ok_value, unix_time_s())
         self._plan_requested.set()
 
-    # Children
-
     async def _run_planner(self) -> None:
         loop = asyncio.get_running_loop()
         duration_s = 0.0
@@ -297,8 +294,6 @@
         self._answer_losses.workers = len(self._links)
         self._committer.request_commit()
 
-    # Events
-
     def _process_report(
         self, worker_id: str, report: WorkerReport, sent_s: float
     ) -> None:
@@ -318,7 +313,7 @@
         self._plan_requested.set()
 
     def _handle_fencing(self, worker_id: str) -> None:
-        self._lose_ownership(f"fenced by {worker_id}")
+        self._lose_ownership(f"worker {worker_id} knows a higher fencing token")
 
     def _lose_ownership(self, reason: str) -> None:
         if not self._is_stopped:
@@ -334,8 +329,6 @@
         self._send_recorded_starts()
         self._plan_requested.set()
 
-    # Orders
-
     def _execute_orders(self, orders: list[Order]) -> None:
         if self._is_stopped:
             return
@@ -351,7 +344,7 @@
                 self._start_call(self._pace_run(order))
 
     def _send_recorded_starts(self) -> None:
-        """Send the starts that are recorded; drop those no longer wanted."""
+        """Send start orders whose runs are recorded; drop those no longer needed."""
         starts, self._unsent_starts = self._unsent_starts, []
         for order in starts:
             if not self._scheduler.is_start_needed(order):
--- a/src/fuchsiadale/cell/owner_ports.py
+++ b/src/fuchsiadale/cell/owner_ports.py
@@ -1,4 +1,4 @@
-"""What an owner talks to."""
+"""Interfaces of the systems that the owner of a cell uses."""
 
 from __future__ import annotations
 
@@ -12,7 +12,19 @@
 
 @frozen
 class OwnerPorts:
-    """What an owner talks to."""
+    """Interfaces of the systems that the owner of a cell uses.
+
+    Attributes
+    ----------
+    store : RowStore
+        Store of jobs, their progress, the workers and the owner's row.
+    workers : WorkerClient
+        Sends orders to workers.
+    worker_list : WorkerList
+        Lists the registered workers.
+    advice : AdvicePool
+        Requests advice from the advice service.
+    """
 
     store: RowStore
     workers: WorkerClient
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -1,4 +1,4 @@
-"""Decides in each process whom to follow, and when to take the cell over."""
+"""Monitors the owner of the cell and acquires the ownership when the owner fails."""
 
 from __future__ import annotations
 
@@ -21,39 +21,75 @@
 from fuchsiadale.ports.rows import RowStore, StoreFailure
 
 SYNC_INTERVAL_S = 0.6
-"""Seconds between two calls to the owner; a silent death is seen in two."""
+"""Seconds between two calls to the owner.
+
+The death of an owner whose connection stays open is detected within two intervals.
+"""
 
 RECONNECT_DELAY_S = 0.05
-"""Seconds before an owner is called again whose connection has ended."""
+"""Seconds before the owner is called again after its connection has ended."""
 
 STORE_POLL_INTERVAL_S = 0.2
-"""Seconds between two looks at a suspected owner's row."""
+"""Seconds between two reads of the owner's row while the owner is suspected."""
 
 SILENT_OWNER_TIMEOUT_S = 1.0
-"""Seconds without renewal after which an owner is replaced: two renewals."""
+"""Seconds without a renewal after which an owner that does not answer is replaced.
+
+An owner renews twice in this time.
+"""
 
 REFUSING_OWNER_TIMEOUT_S = 0.5
-"""The same for an owner at whose address nothing listens: one renewal."""
+"""Seconds without a renewal after which an owner whose address refuses is replaced.
+
+Nothing listens at the address. An owner renews once in this time.
+"""
 
 STALE_OWNER_TIMEOUT_S = 0.6
-"""The same for an owner that says itself that it cannot renew: one renewal."""
+"""Seconds without a renewal after which a stale owner is replaced.
+
+Such an owner reports an old renewal, or that it no longer owns the cell. An owner
+renews once in this time.
+"""
 
 BLOCKED_OWNER_TIMEOUT_S = 0.35
-"""The same for an owner that the store refuses: two of its tries."""
+"""Seconds without a renewal after which an owner is replaced that cannot renew.
+
+The store refuses the transactions of such an owner, which makes two attempts in this
+time.
+"""
 
 SUSPICION_TIMEOUT_S = 5.0
-"""Seconds after which a suspected owner is asked again; two replacements."""
+"""Seconds after which a suspected owner is called again.
+
+Replacing an owner takes at most half of this time.
+"""
 
 STALE_RENEWAL_AGE_S = 0.9
-"""Age of an owner's renewal from which its row is read: two renewals."""
+"""Age in seconds above which an owner's last renewal makes the owner suspect.
+
+An owner renews twice in this time.
+"""
 
 MAX_ACQUIRE_DELAY_S = 0.15
-"""Seconds over which peers spread their tries to take the cell."""
+"""Maximum random delay before an attempt to acquire the ownership, in seconds.
+
+The delay spreads the attempts of the peers.
+"""
 
 
 @frozen
 class AcquiredOwnership:
-    """A cell that this process has just taken."""
+    """Ownership that this process has just acquired.
+
+    Attributes
+    ----------
+    row : OwnerRow
+        Stored row that names this process as the owner.
+    version : int
+        Version of that row.
+    previous_owner : OwnerRow or None
+        Row of the owner that this process replaced; None if there was none.
+    """
 
     row: OwnerRow
     version: int
@@ -61,20 +97,27 @@
 
 
 class Ownership:
-    """Follows the owner and takes its place when it is gone.
+    """Calls the owner regularly and replaces it when it fails.
 
     Parameters
     ----------
     store : RowStore
-        The platform's store.
+        Store of the cell.
     node : str
-        Name of this machine.
+        Name of the machine that this process runs on.
     address : str
-        ``ip:port`` for its peers.
+        ``ip:port`` on which this process listens for its peers.
     on_acquired : callable
-        Called when this process has taken the cell.
+        Called when this process has acquired the ownership; returns whether it could
+        start to act as the owner.
     on_superseded : callable
-        Called with a higher epoch than this process's own.
+        Called with an epoch that is higher than that of this process, which is the
+        owner.
+
+    Attributes
+    ----------
+    is_leaving : bool
+        Whether this process is shutting down and must not acquire the ownership.
     """
 
     def __init__(
@@ -101,12 +144,12 @@
 
     @property
     def incarnation(self) -> str:
-        """Identifies this process."""
+        """Id of this process, which changes with every restart."""
         return self._incarnation
 
     @property
     def epoch(self) -> int:
-        """The highest epoch known."""
+        """Epoch of the known owner; 0 if the owner is unknown."""
         return 0 if self._owner is None else self._owner.epoch
 
     @property
@@ -116,22 +159,22 @@
 
     @property
     def owner_client(self) -> PeerClient | None:
-        """Calls the owner; None if it is this process, or unknown."""
+        """Client for calls to the owner; None if it is this process or unknown."""
         return None if self._is_owner else self._client
 
     @property
     def owner_status(self) -> OwnerStanding | None:
-        """What the owner last said of itself."""
+        """Last status that the owner reported; None if it never did."""
         return self._owner_status
 
     @property
     def owner_status_age_s(self) -> float:
-        """Seconds since the owner last answered."""
+        """Seconds since the owner last reported its status."""
         return asyncio.get_running_loop().time() - self._owner_status_s
 
     @property
     def ownership_age_s(self) -> float:
-        """Seconds since this process last took the cell."""
+        """Seconds since this process last acquired the ownership."""
         return asyncio.get_running_loop().time() - self._acquired_s
 
     def mark_lost(self, reason: str) -> None:
@@ -141,7 +184,7 @@
         self._owner = None
 
     async def run(self) -> None:
-        """Follow the owner until cancelled."""
+        """Monitor the owner until cancelled."""
         while True:
             if self._is_owner:
                 await asyncio.sleep(SYNC_INTERVAL_S)
@@ -156,17 +199,17 @@
             await asyncio.sleep(STORE_POLL_INTERVAL_S)
             return
         stored = found.ok_value
-        if self._is_available(stored):
+        if self._is_unowned(stored):
             await asyncio.sleep(random.uniform(0.0, MAX_ACQUIRE_DELAY_S / 3))
             await self._acquire(stored)
         else:
             await self._set_owner(stored.row)
 
-    def _is_available(self, stored: StoredOwner) -> bool:
+    def _is_unowned(self, stored: StoredOwner) -> bool:
         row = stored.row
         if row is None or row.has_resigned:
             return True
-        # A row of this address and another incarnation is this process's own past.
+        # Another incarnation at this address is an earlier start of this process.
         return row.address == self._address and row.incarnation != self._incarnation
 
     async def _set_owner(self, row: OwnerRow | None) -> None:
@@ -202,7 +245,7 @@
             return
         is_same_process = status.incarnation == owner.incarnation
         if not is_same_process or not status.is_owner:
-            # The process that the row names has ended, or has given the cell up.
+            # The process that the row names has ended, or has lost the ownership.
             await self._replace_unless_renewed(
                 owner, STALE_OWNER_TIMEOUT_S if is_same_process else 0.0
             )
@@ -219,14 +262,14 @@
         await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _replace_unless_renewed(self, owner: OwnerRow, timeout_s: float) -> None:
-        """Take the cell over once its owner has not renewed while the store answers.
+        """Replace an owner that does not renew while the store answers.
 
         Parameters
         ----------
         owner : OwnerRow
-            The owner that is suspected.
+            Row of the suspected owner.
         timeout_s : float
-            Seconds for which its row must be seen unchanged.
+            Seconds for which the row must stay unchanged.
         """
         first_version: int | None = None
         first_seen_s = 0.0
@@ -244,7 +287,7 @@
             if first_version is None:
                 first_version, first_seen_s = stored.version, now_s
             if stored.version != first_version:
-                # The owner still renews; only its answers are missing.
+                # The owner still renews; only its answers were lost.
                 await asyncio.sleep(SYNC_INTERVAL_S)
                 return
             remaining_s = first_seen_s + timeout_s - now_s
@@ -278,6 +321,6 @@
             self.mark_lost("not_recovered")
 
     def note_epoch(self, epoch: int) -> None:
-        """Note an epoch that a peer knows."""
+        """Report that a peer knows a higher epoch than this process as the owner."""
         if self._is_owner and epoch > self.epoch:
             self._on_superseded(epoch)
--- a/src/fuchsiadale/cell/rows.py
+++ b/src/fuchsiadale/cell/rows.py
@@ -1,4 +1,4 @@
-"""The rows that a cell keeps in the store."""
+"""Rows that a cell keeps in the store, and functions to read and write them."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 @frozen
 class OwnerRow:
-    """Who owns the cell.
+    """Row that names the process which owns the cell.
 
     Attributes
     ----------
     node : str
-        Name of the owner's machine.
+        Name of the machine that the owner runs on.
     address : str
-        ``ip:port`` for its peers.
+        ``ip:port`` on which the owner listens for its peers.
     incarnation : str
-        Identifies its process.
+        Id of the owner's process; a restarted process has another one.
     epoch : int
-        The fencing token of its orders.
+        Fencing token of the owner's orders; each new owner has a higher one.
     has_resigned : bool
-        Whether it gave the cell up.
+        Whether the owner has resigned, so that a peer can replace it at once.
     """
 
     node: str
@@ -54,7 +54,11 @@
 
 @frozen
 class StoredOwner:
-    """The owner's row and its version."""
+    """The owner's row and its version.
+
+    `row` is None if the row cannot be decoded, or does not exist; `version` is 0 only
+    if it does not exist.
+    """
 
     row: OwnerRow | None
     version: int
@@ -62,14 +66,14 @@
 
 @frozen
 class WorkerRow:
-    """A worker that the owner knows, and everything that it may have started there.
+    """Row of a worker and of every run that the owner may have started on it.
 
     Attributes
     ----------
     entry : WorkerEntry
-        Its registration.
+        The worker's registration.
     run_texts : list of str
-        ``task#number`` of each run that may be there.
+        ``task#number`` of each run that may be present on the worker.
     """
 
     entry: WorkerEntry
@@ -77,7 +81,7 @@
 
     @property
     def runs(self) -> list[tuple[TaskName, int]]:
-        """The tasks and numbers of the runs that may be there."""
+        """Task and number of each run that may be present on the worker."""
         named = (text.rsplit("#", 1) for text in self.run_texts)
         return [
             (task, int(number))
@@ -87,14 +91,28 @@
 
 
 def make_worker_write(worker: TrackedWorker) -> RowWrite:
-    """Return the write that records a worker for a successor."""
+    """Return the write that records a worker for a later owner."""
     row = WorkerRow(worker.entry, [f"{name}#{number}" for name, number in worker.runs])
     return RowWrite(WORKER_TABLE, worker.entry.worker_id, encode(row))
 
 
 @frozen
 class StoredCell:
-    """Everything that a new owner recovers from."""
+    """Stored state of a cell, from which a new owner recovers.
+
+    Attributes
+    ----------
+    records : tuple of JobRecord
+        All accepted jobs.
+    progress : dict of str to JobProgress
+        Recorded progress by job id; a job that was never recorded is missing.
+    cancelled : frozenset of str
+        Ids of the jobs that their callers cancelled.
+    workers : tuple of WorkerRow
+        All recorded workers.
+    version : int
+        Version of the store from which changes of the job table must be watched.
+    """
 
     records: tuple[JobRecord, ...]
     progress: dict[str, JobProgress]
@@ -104,12 +122,12 @@
 
 
 def make_job_write(record: JobRecord) -> RowWrite:
-    """Return the write that accepts a job."""
+    """Return the write that stores a job as accepted."""
     return RowWrite(JOB_TABLE, record.job_id, encode(record))
 
 
 def make_job_removal(job: Job) -> list[RowWrite]:
-    """Return the writes that remove every row of an ended job."""
+    """Return the writes that remove all rows of an ended job."""
     job_id = job.record.job_id
     writes = [RowWrite(JOB_TABLE, job_id, None), RowWrite(PROGRESS_TABLE, job_id, None)]
     if job.is_cancelled:
@@ -118,14 +136,14 @@
 
 
 def is_cancellation_key(key: str) -> bool:
-    """Tell whether a row of the job table is a cancellation."""
+    """Return whether the key of a row in the job table stands for a cancellation."""
     return key.endswith(CANCEL_SUFFIX)
 
 
 async def read_table(
     store: RowStore, table: str, timeout_s: float = 2.0
 ) -> Result[tuple[tuple[TableRow, ...], int], StoreFailure]:
-    """Return every row of a table and the version of the first page."""
+    """Return all rows of a table and the store's version at the first page."""
     rows: list[TableRow] = []
     start = ""
     version: int | None = None
@@ -144,7 +162,7 @@
 async def read_row(
     store: RowStore, table: str, key: str, timeout_s: float = 1.0
 ) -> Result[TableRow | None, StoreFailure]:
-    """Return one row, or None if it does not exist."""
+    """Return a row, or None if it does not exist."""
     page = await store.read(table, key, 1, timeout_s)
     if isinstance(page, Err):
         return page
@@ -155,7 +173,7 @@
 async def read_owner(
     store: RowStore, timeout_s: float = 1.0
 ) -> Result[StoredOwner, StoreFailure]:
-    """Return the owner's row."""
+    """Return the owner's row with its version."""
     found = await read_row(store, CONTROL_TABLE, OWNER_KEY, timeout_s)
     if isinstance(found, Err):
         return found
@@ -168,7 +186,7 @@
 async def write_owner(
     store: RowStore, row: OwnerRow, version: int, timeout_s: float = 1.0
 ) -> Result[int, StoreFailure]:
-    """Replace the owner's row if it has a version; return its new one."""
+    """Replace the owner's row if it still has `version`; return the new version."""
     return await store.transact(
         (RowWrite(CONTROL_TABLE, OWNER_KEY, encode(row)),),
         (RowCondition(CONTROL_TABLE, OWNER_KEY, version),),
@@ -177,7 +195,7 @@
 
 
 async def load_stored_cell(store: RowStore) -> Result[StoredCell, StoreFailure]:
-    """Return everything that is stored of the cell's jobs and workers."""
+    """Return the stored jobs, progress, cancellations and workers of the cell."""
     jobs = await read_table(store, JOB_TABLE)
     if isinstance(jobs, Err):
         return jobs
--- a/src/fuchsiadale/cell/time_bounds.py
+++ b/src/fuchsiadale/cell/time_bounds.py
@@ -1,42 +1,51 @@
-"""What a cell's surroundings promise it and ask of it, in seconds."""
+"""Time bounds of a deployment and the times that follow from them, in seconds."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
 KEY_REVOCATION_MARGIN_S = 1.0
-"""Time left below the bound on withdrawn keys: a start's way, also when slowed."""
+"""Seconds before the bound on withdrawn keys at which keys are no longer accepted.
+
+A start order may take this long to reach its worker over a slow network.
+"""
 
 READY_MARGIN_S = 1.0
-"""Time before keys are not trusted at which a process asks for no new callers."""
+"""Seconds before keys are no longer accepted at which a process stops being ready."""
 
 MIN_JOB_RETENTION_S = 600.0
-"""Least time for which ended jobs are kept, so that a late repeat does not run."""
+"""Minimum number of seconds for which ended jobs are kept.
+
+A submission that is repeated within this time does not run the job again.
+"""
 
 MAX_UNREADY_PERIOD_S = 2.6
-"""Time between not being ready and closing: two checks that the platform misses."""
+"""Maximum number of seconds between the end of readiness and closing the listeners.
+
+The platform's readiness check fails twice in this time.
+"""
 
 MAX_CALL_COMPLETION_S = 2.0
-"""Further time in which calls that are under way are finished."""
+"""Maximum number of seconds in which open calls may complete after that."""
 
 SHUTDOWN_MARGIN_S = 0.5
-"""Time left before a process that is told to stop is killed."""
+"""Seconds left between the end of a shutdown and the platform killing the process."""
 
 
 @frozen
 class TimeBounds:
-    """Bounds of a deployment.
+    """Time bounds that a deployment sets.
 
     Attributes
     ----------
     max_lease_s : float
-        Longest lease that a worker grants.
+        Longest lease that a worker grants, in seconds.
     key_revocation_s : float
-        Time after which a withdrawn key must not work.
+        Seconds after its withdrawal by which a key must be rejected.
     status_retention_s : float
-        Time for which the state of an ended job must be told.
+        Seconds for which the state of an ended job must be available to callers.
     shutdown_grace_s : float
-        Time between a request to stop and the end of the process.
+        Seconds after a request to stop at which the platform kills the process.
     """
 
     max_lease_s: float = 6.0
@@ -46,28 +55,28 @@
 
     @property
     def max_key_staleness_s(self) -> float:
-        """Age of the configuration from which keys are not trusted."""
+        """Age of the configuration, in seconds, above which no key is accepted."""
         return self.key_revocation_s - KEY_REVOCATION_MARGIN_S
 
     @property
     def max_ready_staleness_s(self) -> float:
-        """Age of the configuration from which a process asks for no new callers."""
+        """Age of the configuration, in seconds, from which a process is not ready."""
         return self.max_key_staleness_s - READY_MARGIN_S
 
     @property
     def job_retention_s(self) -> float:
-        """Time for which ended jobs are kept."""
+        """Seconds for which ended jobs are kept."""
         return max(MIN_JOB_RETENTION_S, self.status_retention_s)
 
     @property
     def unready_period_s(self) -> float:
-        """Time between not being ready and closing."""
+        """Seconds between the end of readiness and closing the listeners."""
         return max(
             0.0, min(MAX_UNREADY_PERIOD_S, self.shutdown_grace_s - SHUTDOWN_MARGIN_S)
         )
 
     @property
     def call_completion_s(self) -> float:
-        """Further time in which calls that are under way are finished."""
+        """Seconds in which open calls may complete after the listeners are closed."""
         remaining_s = self.shutdown_grace_s - self.unready_period_s - SHUTDOWN_MARGIN_S
         return max(0.0, min(MAX_CALL_COMPLETION_S, remaining_s))
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -1,4 +1,4 @@
-"""What the owner records, and when it learns that it no longer owns the cell."""
+"""Tests of what the owner commits and of when it loses the ownership."""
 
 from __future__ import annotations
 
@@ -23,117 +23,115 @@
 from tests.virtual_loop import run_virtually
 from tests.workflow_builders import Cell, make_record
 
-ROW = OwnerRow("node", "1:1", "this", 1)
+OWNER = OwnerRow("node", "1:1", "this", 1)
 SUCCESSOR = OwnerRow("other", "2:2", "that", 2)
 
 
-class Recording:
-    """A committer over a store in memory."""
+class CommitterSetup:
+    """Running committer with an in-memory store and a simulated cell."""
 
     def __init__(self) -> None:
         self.store = MemoryRowStore()
-        self.store.put(CONTROL_TABLE, OWNER_KEY, encode(ROW))
+        self.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
         self.cell = Cell(workers=1)
-        self.recorded: list[dict[str, ProcessedEnd]] = []
-        self.deposed: list[str] = []
+        self.processed_ends: list[dict[str, ProcessedEnd]] = []
+        self.loss_reasons: list[str] = []
         self.committer = Committer(
             self.store,
             self.cell.scheduler,
-            ROW,
+            OWNER,
             self.store.get_version(CONTROL_TABLE, OWNER_KEY),
-            self.recorded.append,
-            self.deposed.append,
+            self.processed_ends.append,
+            self.loss_reasons.append,
         )
         self.task = asyncio.create_task(self.committer.run())
 
 
-def test_start_and_end_of_a_job_are_found_by_a_successor():
+def test_later_owner_loads_recorded_runs_and_final_state():
     async def main() -> None:
-        recording = Recording()
-        cell = recording.cell
+        setup = CommitterSetup()
+        cell = setup.cell
         cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         start = cell.plan()[0]
-        recording.committer.request_commit()
+        setup.committer.request_commit()
         await asyncio.sleep(0.1)
-        stored = (await load_stored_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(setup.store)).unwrap()
         assert stored.workers[0].runs == [(start.task, start.run)]
         assert cell.scheduler.is_start_recorded(start)
         cell.execute([start])
         cell.end_all_runs()
-        recording.committer.request_commit()
+        setup.committer.request_commit()
         await asyncio.sleep(0.1)
-        stored = (await load_stored_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(setup.store)).unwrap()
         assert stored.progress[make_record().job_id].state is JobState.COMPLETED
-        assert recording.recorded[-1]["worker-0"].sequence_number == 1
+        assert setup.processed_ends[-1]["worker-0"].sequence_number == 1
 
     run_virtually(main())
 
 
-def test_ownership_is_renewed_and_a_successor_ends_it():
+def test_ownership_is_renewed_until_another_owner_is_stored():
     async def main() -> None:
-        recording = Recording()
+        setup = CommitterSetup()
         await asyncio.sleep(3.0)
-        assert recording.committer.renewed_age_s < 1.0
-        found = (await read_owner(recording.store)).unwrap()
-        assert isinstance(
-            await write_owner(recording.store, SUCCESSOR, found.version), Ok
-        )
+        assert setup.committer.renewed_age_s < 1.0
+        found = (await read_owner(setup.store)).unwrap()
+        assert isinstance(await write_owner(setup.store, SUCCESSOR, found.version), Ok)
         await asyncio.sleep(1.0)
-        assert recording.deposed == ["superseded"]
+        assert setup.loss_reasons == ["superseded"]
 
     run_virtually(main())
 
 
-def test_lost_answer_does_not_end_the_ownership():
+def test_ownership_survives_transactions_with_lost_answers():
     async def main() -> None:
-        recording = Recording()
-        recording.store.lost_answers = 2
+        setup = CommitterSetup()
+        setup.store.lost_answers = 2
         await asyncio.sleep(3.0)
-        assert recording.deposed == []
-        assert recording.committer.renewed_age_s < 1.0
+        assert setup.loss_reasons == []
+        assert setup.committer.renewed_age_s < 1.0
 
     run_virtually(main())
 
 
-def test_owner_stops_by_itself_when_it_cannot_renew():
+def test_ownership_is_lost_when_store_outage_exceeds_max_renewal_age():
     async def main() -> None:
-        recording = Recording()
+        setup = CommitterSetup()
         await asyncio.sleep(1.0)
-        recording.store.is_down = True
+        setup.store.is_down = True
         await asyncio.sleep(MAX_RENEWAL_AGE_S - 1.0)
-        assert recording.deposed == []
+        assert setup.loss_reasons == []
         await asyncio.sleep(2.0)
-        assert recording.deposed == ["not_renewed"]
+        assert setup.loss_reasons == ["not_renewed"]
 
     run_virtually(main())
 
 
-def test_resigned_cell_is_free_at_once():
+def test_resignation_is_stored_in_the_owner_row():
     async def main() -> None:
-        recording = Recording()
+        setup = CommitterSetup()
         await asyncio.sleep(0.5)
-        recording.task.cancel()
-        await recording.committer.resign()
-        found = (await read_owner(recording.store)).unwrap()
+        setup.task.cancel()
+        await setup.committer.resign()
+        found = (await read_owner(setup.store)).unwrap()
         assert found.row is not None
         assert found.row.has_resigned
 
     run_virtually(main())
 
 
-def test_ended_job_is_removed_from_the_store_after_its_retention_and_not_before():
+def test_ended_job_is_removed_from_the_store_only_after_its_retention():
     async def main() -> None:
-        recording = Recording()
-        cell = recording.cell
+        setup = CommitterSetup()
+        cell = setup.cell
         cell.adopt_workers()
         for number in range(2):
             record = make_record(number)
             cell.scheduler.accept(record, 0.0)
-            recording.store.put(JOB_TABLE, record.job_id, encode(record))
+            setup.store.put(JOB_TABLE, record.job_id, encode(record))
         cell.scheduler.cancel(make_record(0).job_id)
-        recording.store.put(JOB_TABLE, make_record(0).job_id + CANCEL_SUFFIX, b"1")
-        recording.committer.request_commit()
+        setup.store.put(JOB_TABLE, make_record(0).job_id + CANCEL_SUFFIX, b"1")
+        setup.committer.request_commit()
         await asyncio.sleep(0.1)
         cell.clock.advance(99.0)
         cell.scheduler.expire_jobs(100.0)
@@ -141,7 +139,7 @@
         cell.clock.advance(2.0)
         cell.scheduler.expire_jobs(100.0)
         await asyncio.sleep(1.0)
-        stored = (await load_stored_cell(recording.store)).unwrap()
+        stored = (await load_stored_cell(setup.store)).unwrap()
         assert [record.job_id for record in stored.records] == [make_record(1).job_id]
         assert stored.cancelled == frozenset()
         assert list(cell.scheduler.jobs) == [make_record(1).job_id]
@@ -150,38 +148,38 @@
     run_virtually(main())
 
 
-def test_expired_jobs_are_kept_in_mind_until_the_store_took_their_removal():
+def test_expired_job_is_remembered_until_the_store_has_removed_its_rows():
     async def main() -> None:
-        recording = Recording()
-        cell = recording.cell
+        setup = CommitterSetup()
+        cell = setup.cell
         cell.adopt_workers()
         cell.scheduler.accept(make_record(), 0.0)
         cell.scheduler.cancel(make_record().job_id)
-        recording.committer.request_commit()
+        setup.committer.request_commit()
         await asyncio.sleep(0.1)
-        recording.store.is_down = True
+        setup.store.is_down = True
         cell.clock.advance(200.0)
         cell.scheduler.expire_jobs(100.0)
         await asyncio.sleep(1.0)
         assert cell.scheduler.expired_jobs
-        recording.store.is_down = False
+        setup.store.is_down = False
         await asyncio.sleep(1.0)
         assert not cell.scheduler.expired_jobs
 
     run_virtually(main())
 
 
-def test_owner_says_that_it_cannot_renew_only_after_some_refusals():
+def test_owner_reports_that_it_cannot_renew_only_after_repeated_failures():
     async def main() -> None:
-        recording = Recording()
+        setup = CommitterSetup()
         await asyncio.sleep(1.0)
-        recording.store.is_down = True
+        setup.store.is_down = True
         await asyncio.sleep(0.5)
-        assert not recording.committer.cannot_renew
+        assert not setup.committer.cannot_renew
         await asyncio.sleep(0.5)
-        assert recording.committer.cannot_renew
-        recording.store.is_down = False
+        assert setup.committer.cannot_renew
+        setup.store.is_down = False
         await asyncio.sleep(0.5)
-        assert not recording.committer.cannot_renew
+        assert not setup.committer.cannot_renew
 
     run_virtually(main())
--- a/tests/test_cell_daemon.py
+++ b/tests/test_cell_daemon.py
@@ -1,4 +1,4 @@
-"""What a process says of itself while it takes the cell."""
+"""Test of the status that a process reports while it takes over a cell."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.virtual_loop import run_virtually
 
 
-def test_process_that_still_reads_the_store_owns_the_cell():
+def test_process_reports_ownership_before_the_stored_cell_is_loaded():
     async def main() -> None:
-        systems = CellDependencies(MemoryRowStore(), None, None, None, None)  # type: ignore[arg-type]
-        daemon = CellDaemon(ProcessIdentity("node", "1:1"), systems, TimeBounds())
-        following = asyncio.create_task(daemon._ownership.run())
+        dependencies = CellDependencies(MemoryRowStore(), None, None, None, None)  # type: ignore[arg-type]
+        daemon = CellDaemon(ProcessIdentity("node", "1:1"), dependencies, TimeBounds())
+        ownership_task = asyncio.create_task(daemon._ownership.run())
         await asyncio.sleep(0.3)
-        standing = daemon._get_status()
-        assert standing.is_owner
-        assert standing.epoch == 1
-        assert 0.0 < standing.renewed_age_s < 0.3
-        assert standing.pending is None
-        following.cancel()
+        status = daemon._get_status()
+        assert status.is_owner
+        assert status.epoch == 1
+        assert 0.0 < status.renewed_age_s < 0.3
+        assert status.pending is None
+        ownership_task.cancel()
 
     run_virtually(main())
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -1,4 +1,4 @@
-"""When a process takes the cell over, and when it does not."""
+"""Tests of when a process acquires the ownership of a cell and when it does not."""
 
 from __future__ import annotations
 
@@ -19,210 +19,210 @@
 OWNER = OwnerRow("owner", "1:1", "former", 4)
 
 
-class Peer:
-    """An owner that answers as it is told."""
+class FakeOwnerClient:
+    """Client of a simulated owner, which answers with the status that a test sets."""
 
     address = OWNER.address
 
     def __init__(self) -> None:
-        self.standing: OwnerStanding | None = None
+        self.status: OwnerStanding | None = None
         self.is_refused = False
-        self.lost = asyncio.Event()
+        self.connection_lost = asyncio.Event()
 
     async def sync(self, *args: object) -> OwnerStanding | None:
-        """Answer, or be silent for a while."""
-        await asyncio.sleep(0.01 if self.standing or self.is_refused else 0.5)
-        return self.standing
+        """Return the status; a silent owner lets the call time out after 0.5 s."""
+        await asyncio.sleep(0.01 if self.status or self.is_refused else 0.5)
+        return self.status
 
     async def wait_lost(self, timeout_s: float) -> None:
-        """Wait until the connection ends, or for some time."""
+        """Wait until the connection ends, for at most `timeout_s`."""
         with suppress(TimeoutError):
-            await asyncio.wait_for(self.lost.wait(), timeout_s)
+            await asyncio.wait_for(self.connection_lost.wait(), timeout_s)
 
-    def die(self) -> None:
-        """End; nothing listens from now on."""
-        self.standing = None
+    def end_process(self) -> None:
+        """End the owner's process, so that its address refuses connections."""
+        self.status = None
         self.is_refused = True
-        self.lost.set()
+        self.connection_lost.set()
 
     async def close(self) -> None:
-        """Do nothing."""
+        """Do nothing, as there is no connection."""
 
 
-class Follower:
-    """A process that follows the owner."""
+class Candidate:
+    """Process that monitors the owner and may acquire the ownership."""
 
     def __init__(self, address: str = "2:2") -> None:
         self.store = MemoryRowStore()
         self.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
-        self.peer = Peer()
-        self.taken: list[AcquiredOwnership] = []
+        self.owner_client = FakeOwnerClient()
+        self.acquisitions: list[AcquiredOwnership] = []
         self.ownership = Ownership(
-            self.store, "node", address, self.take, lambda epoch: None
+            self.store, "node", address, self.on_acquired, lambda epoch: None
         )
-        self.ownership._make_client = lambda address: self.peer  # type: ignore[method-assign,assignment,return-value]
+        self.ownership._make_client = lambda address: self.owner_client  # type: ignore[method-assign,assignment,return-value]
         self.task = asyncio.create_task(self.ownership.run())
 
-    async def take(self, taking: AcquiredOwnership) -> bool:
-        """Note that the cell was taken."""
-        self.taken.append(taking)
+    async def on_acquired(self, acquired: AcquiredOwnership) -> bool:
+        """Record the acquired ownership."""
+        self.acquisitions.append(acquired)
         return True
 
-    async def renew(self, seconds: float) -> None:
-        """Let the owner renew for some time."""
-        for _ in range(round(seconds / 0.4)):
+    async def renew_owner(self, duration_s: float) -> None:
+        """Renew the owner's row every 0.4 s for `duration_s` seconds."""
+        for _ in range(round(duration_s / 0.4)):
             self.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
             await asyncio.sleep(0.4)
 
 
-def standing(**changes: object) -> OwnerStanding:
+def make_status(**changes: object) -> OwnerStanding:
     fields = {"incarnation": "former", "is_owner": True, "epoch": 4, **changes}
     return OwnerStanding(**fields)  # type: ignore[arg-type]
 
 
-def test_first_process_takes_a_cell_that_nobody_owns():
+def test_cell_without_owner_is_acquired_with_epoch_one():
     async def main() -> None:
-        follower = Follower()
-        follower.store = MemoryRowStore()
-        follower.ownership._store = follower.store
+        candidate = Candidate()
+        candidate.store = MemoryRowStore()
+        candidate.ownership._store = candidate.store
         await asyncio.sleep(1.0)
-        assert [taking.row.epoch for taking in follower.taken] == [1]
+        assert [acquired.row.epoch for acquired in candidate.acquisitions] == [1]
 
     run_virtually(main())
 
 
-def test_owner_that_answers_is_followed():
+def test_owner_that_answers_is_not_replaced():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing()
+        candidate = Candidate()
+        candidate.owner_client.status = make_status()
         await asyncio.sleep(10.0)
-        assert follower.taken == []
+        assert candidate.acquisitions == []
 
     run_virtually(main())
 
 
 def test_silent_owner_that_renews_is_not_replaced():
     async def main() -> None:
-        follower = Follower()
-        await follower.renew(12.0)
-        assert follower.taken == []
+        candidate = Candidate()
+        await candidate.renew_owner(12.0)
+        assert candidate.acquisitions == []
 
     run_virtually(main())
 
 
 def test_silent_owner_that_does_not_renew_is_replaced_within_three_seconds():
     async def main() -> None:
-        follower = Follower()
+        candidate = Candidate()
         await asyncio.sleep(SILENT_OWNER_TIMEOUT_S)
-        assert follower.taken == []
+        assert candidate.acquisitions == []
         await asyncio.sleep(3.0 - SILENT_OWNER_TIMEOUT_S)
-        assert [taking.row.epoch for taking in follower.taken] == [5]
+        assert [acquired.row.epoch for acquired in candidate.acquisitions] == [5]
 
     run_virtually(main())
 
 
 def test_owner_whose_process_has_ended_is_replaced_within_a_second():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing()
-        await follower.renew(2.0)
-        follower.peer.die()
+        candidate = Candidate()
+        candidate.owner_client.status = make_status()
+        await candidate.renew_owner(2.0)
+        candidate.owner_client.end_process()
         await asyncio.sleep(1.0)
-        assert [taking.row.epoch for taking in follower.taken] == [5]
+        assert [acquired.row.epoch for acquired in candidate.acquisitions] == [5]
 
     run_virtually(main())
 
 
-def test_owner_that_only_lost_its_connections_is_not_replaced():
+def test_owner_that_renews_is_not_replaced_after_connection_loss():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing()
-        await follower.renew(2.0)
-        follower.peer.die()
-        await follower.renew(12.0)
-        assert follower.taken == []
+        candidate = Candidate()
+        candidate.owner_client.status = make_status()
+        await candidate.renew_owner(2.0)
+        candidate.owner_client.end_process()
+        await candidate.renew_owner(12.0)
+        assert candidate.acquisitions == []
 
     run_virtually(main())
 
 
-def test_process_that_started_again_is_replaced_at_once():
+def test_owner_whose_process_was_restarted_is_replaced_at_once():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing(incarnation="new", is_owner=False)
+        candidate = Candidate()
+        candidate.owner_client.status = make_status(incarnation="new", is_owner=False)
         await asyncio.sleep(0.6)
-        assert len(follower.taken) == 1
+        assert len(candidate.acquisitions) == 1
 
     run_virtually(main())
 
 
-def test_process_takes_over_from_its_own_former_life():
+def test_restarted_process_replaces_its_previous_incarnation():
     async def main() -> None:
-        follower = Follower(address=OWNER.address)
+        candidate = Candidate(address=OWNER.address)
         await asyncio.sleep(0.5)
-        assert len(follower.taken) == 1
+        assert len(candidate.acquisitions) == 1
 
     run_virtually(main())
 
 
-def test_owner_that_cannot_renew_is_replaced_while_the_store_answers():
+def test_owner_with_old_renewal_is_replaced_while_the_store_answers():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing(renewed_age_s=2.0)
+        candidate = Candidate()
+        candidate.owner_client.status = make_status(renewed_age_s=2.0)
         await asyncio.sleep(1.5)
-        assert len(follower.taken) == 1
+        assert len(candidate.acquisitions) == 1
 
     run_virtually(main())
 
 
-def test_owner_that_the_store_refuses_is_replaced_within_a_second():
+def test_owner_that_cannot_renew_is_replaced_within_a_second():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing(cannot_renew=True)
+        candidate = Candidate()
+        candidate.owner_client.status = make_status(cannot_renew=True)
         await asyncio.sleep(1.0)
-        assert len(follower.taken) == 1
+        assert len(candidate.acquisitions) == 1
 
     run_virtually(main())
 
 
-def test_owner_that_the_store_accepts_again_is_not_replaced():
+def test_owner_that_renews_again_after_a_store_outage_is_not_replaced():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing(cannot_renew=True)
-        follower.store.is_down = True
+        candidate = Candidate()
+        candidate.owner_client.status = make_status(cannot_renew=True)
+        candidate.store.is_down = True
         await asyncio.sleep(3.0)
-        follower.store.is_down = False
-        follower.peer.standing = standing()
+        candidate.store.is_down = False
+        candidate.owner_client.status = make_status()
         for _ in range(20):
-            follower.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
+            candidate.store.put(CONTROL_TABLE, OWNER_KEY, encode(OWNER))
             await asyncio.sleep(0.2)
-        assert follower.taken == []
+        assert candidate.acquisitions == []
 
     run_virtually(main())
 
 
-def test_nobody_takes_over_while_the_store_is_down():
+def test_owner_is_not_replaced_while_the_store_is_down():
     async def main() -> None:
-        follower = Follower()
-        follower.peer.standing = standing()
+        candidate = Candidate()
+        candidate.owner_client.status = make_status()
         await asyncio.sleep(1.0)
-        follower.store.is_down = True
-        follower.peer.standing = standing(renewed_age_s=5.0)
+        candidate.store.is_down = True
+        candidate.owner_client.status = make_status(renewed_age_s=5.0)
         await asyncio.sleep(6.0)
-        assert follower.taken == []
-        follower.store.is_down = False
-        follower.peer.standing = standing()
-        await follower.renew(3.0)
-        found = (await read_owner(follower.store)).unwrap()
+        assert candidate.acquisitions == []
+        candidate.store.is_down = False
+        candidate.owner_client.status = make_status()
+        await candidate.renew_owner(3.0)
+        found = (await read_owner(candidate.store)).unwrap()
         assert found.row == OWNER
 
     run_virtually(main())
 
 
-def test_process_that_leaves_does_not_take_over():
+def test_process_that_is_shutting_down_does_not_replace_the_owner():
     async def main() -> None:
-        follower = Follower()
-        follower.ownership.is_leaving = True
+        candidate = Candidate()
+        candidate.ownership.is_leaving = True
         await asyncio.sleep(6.0)
-        assert follower.taken == []
+        assert candidate.acquisitions == []
 
     run_virtually(main())
