--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -78,7 +78,7 @@
     started_ms : int
         Start of the worker's incarnation that reported the end, in Unix milliseconds.
     sequence_number : int
-        Number of the end among those of this incarnation.
+        Sequence number of the end within this incarnation.
     """
 
     started_ms: int
@@ -213,10 +213,10 @@
             : MAX_TRANSACTION_ENTRIES - 1 - len(writes)
         ]
         writes += [RowWrite(WORKER_TABLE, worker_id, None) for worker_id in retired_ids]
-        expired_jobs = self._select_expired_jobs(
+        jobs_to_remove = self._select_expired_jobs(
             MAX_TRANSACTION_ENTRIES - 1 - len(writes)
         )
-        for job in expired_jobs:
+        for job in jobs_to_remove:
             writes += make_job_removal(job)
         sent_s = asyncio.get_running_loop().time()
         outcome = await self._store.transact(
@@ -233,7 +233,7 @@
             for worker, runs in zip(workers, recorded_runs, strict=True):
                 worker.note_recorded(runs)
             scheduler.retired_workers.difference_update(retired_ids)
-            for job in expired_jobs:
+            for job in jobs_to_remove:
                 scheduler.expired_jobs.pop(job.record.job_id, None)
             self._on_recorded(processed_ends if has_all_jobs else {})
             return True
@@ -241,6 +241,7 @@
         return await self._handle_failure(outcome.err_value)
 
     async def _handle_failure(self, failure: StoreFailure) -> bool:
+        """Handle a failed commit; return whether the ownership may still hold."""
         self._track_store_availability(False, failure.value)
         if failure in (StoreFailure.CONFLICT, StoreFailure.UNKNOWN):
             found = await read_owner(self._store)
@@ -258,6 +259,7 @@
         return True
 
     def _track_store_availability(self, is_success: bool, reason: str) -> None:
+        """Log when transactions start to fail and when they succeed again."""
         was_failing = self._failing_since_s is not None
         if is_success == was_failing:
             now_s = asyncio.get_running_loop().time()
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -139,7 +139,7 @@
             identity.peer_address,
             self._start_owner,
             lambda epoch: self._handle_ownership_loss(
-                f"a peer knows the higher epoch {epoch}"
+                f"a peer knows epoch {epoch}, which is higher"
             ),
         )
         self.gateway = Gateway(
@@ -199,6 +199,7 @@
     # Ownership
 
     async def _start_owner(self, acquired: AcquiredOwnership) -> bool:
+        """Load the stored cell and start to schedule it; return whether it succeeded."""
         self.metrics.takeovers.labels("taken").inc()
         for _ in range(MAX_LOAD_ATTEMPTS):
             configuration = self._configuration.current
@@ -261,6 +262,7 @@
             await client.close()
 
     def _handle_ownership_loss(self, reason: str) -> None:
+        """Stop the owner in this process after another one has replaced it."""
         owner, self._owner = self._owner, None
         if owner is None:
             return
@@ -286,6 +288,7 @@
         return self._get_status()
 
     def _get_status(self) -> OwnerStanding:
+        """Return the status that this process reports to its peers."""
         ownership, owner = self._ownership, self._owner
         if owner is not None:
             return OwnerStanding(
@@ -321,6 +324,7 @@
         return True
 
     def _notify_owner(self, key: str, value: bytes) -> None:
+        """Send a stored row to the owner in another process without waiting for it."""
         client = self._ownership.owner_client
         if client is None:
             return
@@ -329,7 +333,7 @@
         task.add_done_callback(self._notify_tasks.discard)
 
     async def _refresh_advice_peers(self) -> None:
-        """Request advice only through peers that called within `PEER_TIMEOUT_S`."""
+        """Keep only peers that called within `PEER_TIMEOUT_S` in the advice pool."""
         while True:
             now_s = asyncio.get_running_loop().time()
             active_addresses = {
@@ -392,11 +396,11 @@
         loop.add_signal_handler(signal.SIGHUP, lambda: log_message("settings_kept"))
         log_task = loop.create_task(self._log.run())
         await self._daemon.start()
-        call_completion_s = self._daemon.bounds.call_completion_s
+        shutdown_timeout_s = self._daemon.bounds.call_completion_s
         for listener in self._listeners:
             ip, _, port = listener.address.rpartition(":")
             server = web.Server(listener.handler, access_log=None)  # type: ignore[arg-type]
-            runner = web.ServerRunner(server, shutdown_timeout=call_completion_s)
+            runner = web.ServerRunner(server, shutdown_timeout=shutdown_timeout_s)
             await runner.setup()
             await web.TCPSite(runner, ip, int(port), backlog=512).start()
             self._runners.append(runner)
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -193,7 +193,7 @@
         return lapse_after_s(self._bounds.max_lease_s) + TAKEOVER_MARGIN_S
 
     async def stop(self) -> None:
-        """Stop sending orders, also those in progress."""
+        """Stop issuing orders and cancel the calls that are in progress."""
         self._is_stopped = True
         for task in list(self._call_tasks):
             task.cancel()
@@ -313,7 +313,7 @@
         self._plan_requested.set()
 
     def _handle_fencing(self, worker_id: str) -> None:
-        self._lose_ownership(f"worker {worker_id} knows a higher fencing token")
+        self._lose_ownership(f"a higher fencing token is known to worker {worker_id}")
 
     def _lose_ownership(self, reason: str) -> None:
         if not self._is_stopped:
@@ -321,6 +321,7 @@
             self._on_ownership_lost(reason)
 
     def _handle_commit(self, processed_ends: dict[str, ProcessedEnd]) -> None:
+        """Acknowledge recorded ends to the workers and send recorded start orders."""
         for worker_id, end in processed_ends.items():
             worker = self._scheduler.workers.get(worker_id)
             link = self._links.get(worker_id)
@@ -330,6 +331,7 @@
         self._plan_requested.set()
 
     def _execute_orders(self, orders: list[Order]) -> None:
+        """Send orders at once, except starts, whose runs must be recorded first."""
         if self._is_stopped:
             return
         for order in orders:
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -39,29 +39,28 @@
 """
 
 REFUSING_OWNER_TIMEOUT_S = 0.5
-"""Seconds without a renewal after which an owner whose address refuses is replaced.
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner at whose address nothing listens.
 
-Nothing listens at the address. An owner renews once in this time.
+An owner renews once in this time.
 """
 
 STALE_OWNER_TIMEOUT_S = 0.6
-"""Seconds without a renewal after which a stale owner is replaced.
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner that reports that it does not renew.
 
 Such an owner reports an old renewal, or that it no longer owns the cell. An owner
 renews once in this time.
 """
 
-BLOCKED_OWNER_TIMEOUT_S = 0.35
-"""Seconds without a renewal after which an owner is replaced that cannot renew.
+CANNOT_RENEW_TIMEOUT_S = 0.35
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner whose transactions the store refuses.
 
-The store refuses the transactions of such an owner, which makes two attempts in this
-time.
+Such an owner makes two attempts to renew in this time.
 """
 
 SUSPICION_TIMEOUT_S = 5.0
 """Seconds after which a suspected owner is called again.
 
-Replacing an owner takes at most half of this time.
+The time suffices for replacing an owner twice.
 """
 
 STALE_RENEWAL_AGE_S = 0.9
@@ -206,10 +205,11 @@
             await self._set_owner(stored.row)
 
     def _is_unowned(self, stored: StoredOwner) -> bool:
+        """Return whether the row names no process that could still be the owner."""
         row = stored.row
         if row is None or row.has_resigned:
             return True
-        # Another incarnation at this address is an earlier start of this process.
+        # Another incarnation at this address is a previous run of this process.
         return row.address == self._address and row.incarnation != self._incarnation
 
     async def _set_owner(self, row: OwnerRow | None) -> None:
@@ -225,6 +225,7 @@
         return PeerClient(address)
 
     async def _sync_with_owner(self) -> None:
+        """Call the owner once and replace it if it has failed."""
         owner, client = self._owner, self._client
         if owner is None or client is None:
             return
@@ -253,7 +254,7 @@
         self._owner_status = status
         self._owner_status_s = asyncio.get_running_loop().time()
         if status.cannot_renew:
-            await self._replace_unless_renewed(owner, BLOCKED_OWNER_TIMEOUT_S)
+            await self._replace_unless_renewed(owner, CANNOT_RENEW_TIMEOUT_S)
             return
         if status.renewed_age_s > STALE_RENEWAL_AGE_S:
             await self._replace_unless_renewed(owner, STALE_OWNER_TIMEOUT_S)
@@ -298,6 +299,7 @@
             await asyncio.sleep(min(STORE_POLL_INTERVAL_S, remaining_s))
 
     async def _acquire(self, stored: StoredOwner) -> None:
+        """Acquire the ownership with a new epoch if the owner's row is unchanged."""
         if self.is_leaving:
             await asyncio.sleep(STORE_POLL_INTERVAL_S)
             return
--- a/src/fuchsiadale/cell/time_bounds.py
+++ b/src/fuchsiadale/cell/time_bounds.py
@@ -5,13 +5,13 @@
 from attrs import frozen
 
 KEY_REVOCATION_MARGIN_S = 1.0
-"""Seconds before the bound on withdrawn keys at which keys are no longer accepted.
+"""Seconds by which the age bound for accepting keys is below the revocation bound.
 
 A start order may take this long to reach its worker over a slow network.
 """
 
 READY_MARGIN_S = 1.0
-"""Seconds before keys are no longer accepted at which a process stops being ready."""
+"""Seconds by which a process stops being ready before it stops accepting keys."""
 
 MIN_JOB_RETENTION_S = 600.0
 """Minimum number of seconds for which ended jobs are kept.
@@ -26,7 +26,7 @@
 """
 
 MAX_CALL_COMPLETION_S = 2.0
-"""Maximum number of seconds in which open calls may complete after that."""
+"""Maximum number of seconds in which open calls may complete after the closing."""
 
 SHUTDOWN_MARGIN_S = 0.5
 """Seconds left between the end of a shutdown and the platform killing the process."""
