--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -199,7 +199,7 @@
     # Ownership
 
     async def _start_owner(self, acquired: AcquiredOwnership) -> bool:
-        """Load the stored cell and start to schedule it; return whether it succeeded."""
+        """Load the stored cell and start to schedule; return whether this succeeded."""
         self.metrics.takeovers.labels("taken").inc()
         for _ in range(MAX_LOAD_ATTEMPTS):
             configuration = self._configuration.current
@@ -262,7 +262,7 @@
             await client.close()
 
     def _handle_ownership_loss(self, reason: str) -> None:
-        """Stop the owner in this process after another one has replaced it."""
+        """Stop the owner in this process, which no longer owns the cell."""
         owner, self._owner = self._owner, None
         if owner is None:
             return
