--- a/src/fuchsiadale/cell/gateway.py
+++ b/src/fuchsiadale/cell/gateway.py
@@ -18,7 +18,7 @@
     CANCEL_SUFFIX,
     JOB_TABLE,
     PROGRESS_TABLE,
-    job_write,
+    make_job_write,
     read_row,
 )
 from fuchsiadale.codec import decode
@@ -215,8 +215,8 @@
         owner = self._get_local_owner()
         if owner is not None:
             return Ok(owner.count_pending().get(queue, 0))
-        status = self._ownership.owner_standing
-        is_fresh = self._ownership.standing_age_s < MAX_PENDING_COUNT_AGE_S
+        status = self._ownership.owner_status
+        is_fresh = self._ownership.owner_status_age_s < MAX_PENDING_COUNT_AGE_S
         if status is None or status.pending is None or not is_fresh:
             return _refuse(
                 ErrorKind.NO_OWNER,
@@ -266,7 +266,7 @@
         )
 
     async def _store_job(self, record: JobRecord) -> Result[None, Refusal]:
-        write = job_write(record)
+        write = make_job_write(record)
         stored = await self._create_row(write)
         log_message(
             "job_stored" if isinstance(stored, Ok) else "job_not_stored",
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -11,7 +11,7 @@
 from fuchsiadale.cell.gateway import CallerRequest, Gateway
 from fuchsiadale.cell.ownership import Ownership
 from fuchsiadale.cell.rows import JOB_TABLE, PROGRESS_TABLE
-from fuchsiadale.cell.terms import CellTerms
+from fuchsiadale.cell.time_bounds import TimeBounds
 from fuchsiadale.codec import encode
 from fuchsiadale.decision.errors import ErrorKind, Refusal
 from fuchsiadale.decision.workflow.configuration import CellConfiguration
@@ -69,7 +69,7 @@
             lambda: None,
             lambda job_id: None,
             lambda key, value: self.notified_keys.append(key),
-            CellTerms().key_trust_s,
+            TimeBounds().max_key_staleness_s,
         )
 
     async def start(self) -> None:
@@ -85,7 +85,7 @@
         return error_kind(outcome)
 
 
-async def _refuse_takeover(taking: object) -> bool:
+async def _refuse_takeover(acquired: object) -> bool:
     return False
 
 
