--- a/src/fuchsiadale/cell/boot_clock.py
+++ b/src/fuchsiadale/cell/boot_clock.py
@@ -15,5 +15,5 @@
 
 
 def unix_time_s() -> float:
-    """Return the wall-clock time in Unix seconds, which may jump when it is set."""
+    """Return the wall-clock time in Unix seconds, which jumps when the clock is set."""
     return time.clock_gettime(time.CLOCK_REALTIME)
--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -29,7 +29,7 @@
 RENEWAL_INTERVAL_S = 0.45
 """Seconds between two renewals of the ownership.
 
-Peers suspect an owner that misses three renewals.
+Peers suspect an owner that does not answer or that has not renewed for two intervals.
 """
 
 BATCHING_DELAY_S = 0.006
@@ -51,13 +51,13 @@
 """Maximum number of worker rows per transaction; the store accepts 100 entries."""
 
 CANNOT_RENEW_AFTER_S = 0.25
-"""Seconds of failures after which an owner reports that it cannot renew.
+"""Seconds since the first failure after which an owner reports that it cannot renew.
 
-Two attempts fail in this time.
+No transaction succeeds in this time, and two attempts fail.
 """
 
 COMMIT_TIMEOUT_S = 0.8
-"""Seconds after which the outcome of an unanswered transaction is unknown.
+"""Seconds to wait for the answer to a transaction; then its outcome counts as unknown.
 
 A slow store takes up to this long to answer.
 """
@@ -65,13 +65,13 @@
 MAX_RENEWAL_AGE_S = 8.0
 """Seconds without a renewal after which an owner stops.
 
-This is the longest outage of the store that an owner outlasts.
+An owner keeps the ownership during an outage of the store of up to this length.
 """
 
 
 @frozen
 class ProcessedEnd:
-    """The last end of a run that the owner processed on a worker.
+    """Last end of a run that a worker reported and the owner processed.
 
     Attributes
     ----------
@@ -103,8 +103,9 @@
     version : int
         Current version of the owner's row.
     on_recorded : callable
-        Called after each commit with the last recorded end by worker id; empty if
-        some progress is not recorded yet.
+        Called after each commit with the last processed end by worker id, whose
+        effects are now stored, so that it can be acknowledged. The argument is empty
+        if the transaction could not hold all unrecorded jobs.
     on_ownership_lost : callable
         Called with a reason when this process no longer owns the cell.
     """
@@ -130,12 +131,12 @@
 
     @property
     def renewed_age_s(self) -> float:
-        """Seconds since the last transaction that certainly renewed the ownership."""
+        """Seconds since the last successful transaction was sent."""
         return asyncio.get_running_loop().time() - self._renewed_s
 
     @property
     def cannot_renew(self) -> bool:
-        """Whether every transaction has failed for `CANNOT_RENEW_AFTER_S`."""
+        """Whether all transactions failed for more than `CANNOT_RENEW_AFTER_S`."""
         if self._failing_since_s is None:
             return False
         now_s = asyncio.get_running_loop().time()
@@ -172,7 +173,7 @@
         )
 
     def _select_workers_to_record(self) -> list[TrackedWorker]:
-        """Return the workers to record, first those that block a start order."""
+        """Return the workers to record, first those that are new or have a new run."""
         stale = [
             worker
             for worker in self._scheduler.workers.values()
@@ -182,7 +183,7 @@
         return stale[:MAX_WORKERS_PER_COMMIT]
 
     def _select_expired_jobs(self, max_entries: int) -> list[Job]:
-        """Return expired jobs whose rows can be removed with at most `max_entries`."""
+        """Return expired jobs whose rows at most `max_entries` writes can remove."""
         jobs = self._scheduler.expired_jobs.values()
         return list(islice(jobs, max(0, max_entries // MAX_ROWS_PER_JOB)))
 
@@ -259,7 +260,7 @@
         return True
 
     def _track_store_availability(self, is_success: bool, reason: str) -> None:
-        """Log when transactions start to fail and when they succeed again."""
+        """Record and log when transactions start to fail and succeed again."""
         was_failing = self._failing_since_s is not None
         if is_success == was_failing:
             now_s = asyncio.get_running_loop().time()
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -38,10 +38,13 @@
 """Seconds after its last sync call from which a peer is not asked for advice."""
 
 MAX_LOAD_ATTEMPTS = 8
-"""Attempts of a new owner to read the stored cell before it gives up the ownership."""
+"""Attempts of a new owner to read the stored cell before it stops being the owner.
+
+An attempt also fails while the process has no configuration.
+"""
 
 LOAD_RETRY_DELAY_S = 0.2
-"""Seconds between two of these attempts."""
+"""Seconds between two attempts of a new owner to read the stored cell."""
 
 PREDECESSOR_POLL_INTERVAL_S = 0.5
 """Seconds between two calls to a former owner to learn whether it has stopped."""
@@ -65,7 +68,7 @@
     configuration : ConfigurationSource
         Provides the configuration and its changes.
     advisor : AdviceClient
-        Requests advice from this machine.
+        Requests advice from the advice service on behalf of this machine.
     """
 
     store: RowStore
@@ -139,7 +142,7 @@
             identity.peer_address,
             self._start_owner,
             lambda epoch: self._handle_ownership_loss(
-                f"a peer knows epoch {epoch}, which is higher"
+                f"a peer reported epoch {epoch}, which is higher than this owner's"
             ),
         )
         self.gateway = Gateway(
@@ -178,7 +181,10 @@
         self._supervisor.start("lanes", self._refresh_advice_peers)
 
     async def begin_shutdown(self) -> None:
-        """End readiness, resign as the owner, and keep answering calls for a while."""
+        """End readiness, resign if this is the owner, and wait for `unready_period_s`.
+
+        Calls are still answered during the wait.
+        """
         self._is_leaving = True
         self._ownership.is_leaving = True
         log_message("stopping", is_owner=self._owner is not None)
@@ -199,7 +205,10 @@
     # Ownership
 
     async def _start_owner(self, acquired: AcquiredOwnership) -> bool:
-        """Load the stored cell and start to schedule; return whether this succeeded."""
+        """Load the stored cell and start to schedule; return whether this succeeded.
+
+        It fails without a stored cell or without a configuration.
+        """
         self.metrics.takeovers.labels("taken").inc()
         for _ in range(MAX_LOAD_ATTEMPTS):
             configuration = self._configuration.current
@@ -239,7 +248,10 @@
     async def _await_predecessor_stop(
         self, owner: Owner, address: str, incarnation: str
     ) -> None:
-        """Poll the former owner until it has stopped sending orders."""
+        """Poll the former owner and notify `owner` when it has stopped.
+
+        The polling ends early if this process loses the ownership.
+        """
         if address == self._identity.peer_address:
             owner.note_predecessor_stopped()
             return
@@ -333,7 +345,10 @@
         task.add_done_callback(self._notify_tasks.discard)
 
     async def _refresh_advice_peers(self) -> None:
-        """Keep only peers that called within `PEER_TIMEOUT_S` in the advice pool."""
+        """Limit the advice pool to peers that called within `PEER_TIMEOUT_S`.
+
+        The metric of the configuration's age is updated at the same interval.
+        """
         while True:
             now_s = asyncio.get_running_loop().time()
             active_addresses = {
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -45,7 +45,7 @@
 from fuchsiadale.supervisor import Supervisor
 
 TICK_INTERVAL_S = 0.2
-"""Seconds between two checks for timeouts and due steps."""
+"""Seconds between two periodic checks, such as for timeouts and due steps."""
 
 PLAN_DELAY_S = 0.003
 """Seconds for which events are collected before a plan is made."""
@@ -54,7 +54,7 @@
 """Pause after a plan relative to its duration; limits planning to 2/5 of a core."""
 
 WORKER_LIST_INTERVAL_S = 0.6
-"""Seconds between two reads of the worker list: a third of a worker's drain time."""
+"""Seconds between two reads of the worker list: a third of a worker's drain notice."""
 
 EXPIRY_INTERVAL_S = 5.0
 """Seconds between two searches for ended jobs to remove."""
@@ -63,7 +63,7 @@
 """Seconds before a stop order that was not acknowledged is sent again."""
 
 TAKEOVER_MARGIN_S = 0.5
-"""Seconds added to a former owner's leases, for its orders that are in transit."""
+"""Seconds added to the end of a former owner's leases for orders still in transit."""
 
 
 class Owner:
@@ -106,7 +106,7 @@
             self._scheduler,
             row,
             version,
-            self._handle_commit,
+            self._on_recorded,
             self._lose_ownership,
         )
         self._supervisor = Supervisor("owner")
@@ -131,11 +131,11 @@
 
     @property
     def cannot_renew(self) -> bool:
-        """Whether the store has refused all renewals for some time."""
+        """Whether all transactions failed for more than `CANNOT_RENEW_AFTER_S`."""
         return self._committer.cannot_renew
 
     def count_pending(self) -> dict[str, int]:
-        """Return the number of jobs that have not started any run, by queue.
+        """Return the number of accepted jobs that wait for their first start, by queue.
 
         The counts are at most `TICK_INTERVAL_S` old.
         """
@@ -151,7 +151,10 @@
         configuration: CellConfiguration,
         has_predecessor: bool,
     ) -> None:
-        """Recover the stored state and start to schedule."""
+        """Recover the stored state and start to schedule.
+
+        `has_predecessor` tells whether a former owner may have runs on the workers.
+        """
         now_unix_s = unix_time_s()
         self._scheduler.apply_configuration(configuration)
         for record in sorted(stored.records, key=lambda item: item.accepted_s):
@@ -181,7 +184,7 @@
         )
 
     def _restore_runs(self, workers: tuple[WorkerRow, ...]) -> None:
-        """Restore recorded runs as if the former owner renewed them to its very end."""
+        # A former owner may extend leases until it stops, MAX_RENEWAL_AGE_S from now.
         lease_ends_s = LoopClock().now() + MAX_RENEWAL_AGE_S + self._predecessor_lease_s
         for row in workers:
             worker_id = row.entry.worker_id
@@ -216,7 +219,7 @@
         self._scheduler.bound_predecessor_leases(lease_ends_s)
 
     def take_row(self, key: str, value: bytes) -> None:
-        """Process a row of the job table, which the watch may deliver again later."""
+        """Process a row of the job table; the watch and a peer may both deliver it."""
         if is_cancellation_key(key):
             self._scheduler.cancel(key.removesuffix(CANCEL_SUFFIX))
             self._execute_orders(self._scheduler.pop_orders())
@@ -278,11 +281,11 @@
                 self.epoch,
                 self._bounds.max_lease_s,
                 LinkEvents(
-                    self._process_report,
+                    self._on_report,
                     self._scheduler.mark_worker_unresponsive,
-                    self._handle_replacement,
+                    self._on_replaced,
                     self._scheduler.extend_lease,
-                    self._handle_fencing,
+                    self._on_fenced,
                 ),
                 self._answer_losses,
             )
@@ -294,9 +297,7 @@
         self._answer_losses.workers = len(self._links)
         self._committer.request_commit()
 
-    def _process_report(
-        self, worker_id: str, report: WorkerReport, sent_s: float
-    ) -> None:
+    def _on_report(self, worker_id: str, report: WorkerReport, sent_s: float) -> None:
         worker = self._scheduler.workers.get(worker_id)
         if worker is not None and worker.started_ms not in (0, report.started_ms):
             self._links[worker_id].forget_ends()
@@ -308,20 +309,20 @@
             self._committer.request_commit()
         self._plan_requested.set()
 
-    def _handle_replacement(self, worker_id: str) -> None:
+    def _on_replaced(self, worker_id: str) -> None:
         self._scheduler.mark_worker_replaced(worker_id)
         self._plan_requested.set()
 
-    def _handle_fencing(self, worker_id: str) -> None:
-        self._lose_ownership(f"a higher fencing token is known to worker {worker_id}")
+    def _on_fenced(self, worker_id: str) -> None:
+        self._lose_ownership(f"outdated fencing token rejected by worker {worker_id}")
 
     def _lose_ownership(self, reason: str) -> None:
         if not self._is_stopped:
             self._is_stopped = True
             self._on_ownership_lost(reason)
 
-    def _handle_commit(self, processed_ends: dict[str, ProcessedEnd]) -> None:
-        """Acknowledge recorded ends to the workers and send recorded start orders."""
+    def _on_recorded(self, processed_ends: dict[str, ProcessedEnd]) -> None:
+        """Acknowledge recorded ends and send start orders whose runs are recorded."""
         for worker_id, end in processed_ends.items():
             worker = self._scheduler.workers.get(worker_id)
             link = self._links.get(worker_id)
@@ -331,7 +332,7 @@
         self._plan_requested.set()
 
     def _execute_orders(self, orders: list[Order]) -> None:
-        """Send orders at once, except starts, whose runs must be recorded first."""
+        """Send orders, but starts only after their commit; once stopped, drop all."""
         if self._is_stopped:
             return
         for order in orders:
--- a/src/fuchsiadale/cell/owner_ports.py
+++ b/src/fuchsiadale/cell/owner_ports.py
@@ -23,7 +23,7 @@
     worker_list : WorkerList
         Lists the registered workers.
     advice : AdvicePool
-        Requests advice from the advice service.
+        Spreads requests to the advice service over the machines of the cell.
     """
 
     store: RowStore
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -23,14 +23,15 @@
 SYNC_INTERVAL_S = 0.6
 """Seconds between two calls to the owner.
 
-The death of an owner whose connection stays open is detected within two intervals.
+The failure of an owner whose connection is not closed, such as that of its machine, is
+detected within two intervals.
 """
 
 RECONNECT_DELAY_S = 0.05
 """Seconds before the owner is called again after its connection has ended."""
 
 STORE_POLL_INTERVAL_S = 0.2
-"""Seconds between two reads of the owner's row while the owner is suspected."""
+"""Seconds between reads of the owner's row while the owner is suspected or unknown."""
 
 SILENT_OWNER_TIMEOUT_S = 1.0
 """Seconds without a renewal after which an owner that does not answer is replaced.
@@ -52,7 +53,7 @@
 """
 
 CANNOT_RENEW_TIMEOUT_S = 0.35
-"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner whose transactions the store refuses.
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner that reports failing transactions.
 
 Such an owner makes two attempts to renew in this time.
 """
@@ -72,7 +73,8 @@
 MAX_ACQUIRE_DELAY_S = 0.15
 """Maximum random delay before an attempt to acquire the ownership, in seconds.
 
-The delay spreads the attempts of the peers.
+The delay spreads the attempts of the peers. It is at most a third of this if the cell
+has no owner.
 """
 
 
@@ -107,11 +109,11 @@
     address : str
         ``ip:port`` on which this process listens for its peers.
     on_acquired : callable
-        Called when this process has acquired the ownership; returns whether it could
-        start to act as the owner.
+        Called when this process has acquired the ownership; returns whether this
+        process could start to schedule.
     on_superseded : callable
-        Called with an epoch that is higher than that of this process, which is the
-        owner.
+        Called with the epoch that a peer reported if it is higher than the epoch under
+        which this process owns the cell.
 
     Attributes
     ----------
@@ -163,12 +165,15 @@
 
     @property
     def owner_status(self) -> OwnerStanding | None:
-        """Last status that the owner reported; None if it never did."""
+        """Last status that a process reported as the owner; None if there is none yet.
+
+        The process may be a former owner.
+        """
         return self._owner_status
 
     @property
     def owner_status_age_s(self) -> float:
-        """Seconds since the owner last reported its status."""
+        """Seconds since `owner_status` was received; valid only if that is not None."""
         return asyncio.get_running_loop().time() - self._owner_status_s
 
     @property
@@ -205,7 +210,11 @@
             await self._set_owner(stored.row)
 
     def _is_unowned(self, stored: StoredOwner) -> bool:
-        """Return whether the row names no process that could still be the owner."""
+        """Return whether the ownership can be acquired at once.
+
+        The row is missing, unreadable, resigned or left by a previous run of this
+        process.
+        """
         row = stored.row
         if row is None or row.has_resigned:
             return True
@@ -263,14 +272,17 @@
         await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _replace_unless_renewed(self, owner: OwnerRow, timeout_s: float) -> None:
-        """Replace an owner that does not renew while the store answers.
+        """Replace the owner if its row stays unchanged, or at once if it resigned.
+
+        This process does not replace the owner if it renews, if another process has
+        replaced it, or if the store does not answer for `SUSPICION_TIMEOUT_S`.
 
         Parameters
         ----------
         owner : OwnerRow
             Row of the suspected owner.
         timeout_s : float
-            Seconds for which the row must stay unchanged.
+            Seconds for which the row must stay unchanged before the owner is replaced.
         """
         first_version: int | None = None
         first_seen_s = 0.0
@@ -288,7 +300,7 @@
             if first_version is None:
                 first_version, first_seen_s = stored.version, now_s
             if stored.version != first_version:
-                # The owner still renews; only its answers were lost.
+                # The owner has renewed in the meantime, so it is not replaced.
                 await asyncio.sleep(SYNC_INTERVAL_S)
                 return
             remaining_s = first_seen_s + timeout_s - now_s
@@ -323,6 +335,9 @@
             self.mark_lost("not_recovered")
 
     def note_epoch(self, epoch: int) -> None:
-        """Report that a peer knows a higher epoch than this process as the owner."""
+        """Call `on_superseded` if a peer's epoch is higher than that of this owner.
+
+        Nothing happens if this process is not the owner.
+        """
         if self._is_owner and epoch > self.epoch:
             self._on_superseded(epoch)
--- a/src/fuchsiadale/cell/rows.py
+++ b/src/fuchsiadale/cell/rows.py
@@ -56,8 +56,12 @@
 class StoredOwner:
     """The owner's row and its version.
 
-    `row` is None if the row cannot be decoded, or does not exist; `version` is 0 only
-    if it does not exist.
+    Attributes
+    ----------
+    row : OwnerRow or None
+        The owner's row; None if it does not exist or cannot be decoded.
+    version : int
+        Version of the row; 0 if it does not exist.
     """
 
     row: OwnerRow | None
@@ -81,7 +85,10 @@
 
     @property
     def runs(self) -> list[tuple[TaskName, int]]:
-        """Task and number of each run that may be present on the worker."""
+        """Task and number of each run that may be present on the worker.
+
+        Runs with an invalid task name are left out.
+        """
         named = (text.rsplit("#", 1) for text in self.run_texts)
         return [
             (task, int(number))
@@ -100,16 +107,18 @@
 class StoredCell:
     """Stored state of a cell, from which a new owner recovers.
 
+    Rows that cannot be decoded are left out.
+
     Attributes
     ----------
     records : tuple of JobRecord
-        All accepted jobs.
+        All stored jobs.
     progress : dict of str to JobProgress
-        Recorded progress by job id; a job that was never recorded is missing.
+        Recorded progress by job id; a job without stored progress is missing.
     cancelled : frozenset of str
         Ids of the jobs that their callers cancelled.
     workers : tuple of WorkerRow
-        All recorded workers.
+        All stored workers.
     version : int
         Version of the store from which changes of the job table must be watched.
     """
@@ -143,7 +152,10 @@
 async def read_table(
     store: RowStore, table: str, timeout_s: float = 2.0
 ) -> Result[tuple[tuple[TableRow, ...], int], StoreFailure]:
-    """Return all rows of a table and the store's version at the first page."""
+    """Return all rows of a table and the store's version when the first page was read.
+
+    A watch from this version also delivers changes made while later pages are read.
+    """
     rows: list[TableRow] = []
     start = ""
     version: int | None = None
--- a/src/fuchsiadale/cell/time_bounds.py
+++ b/src/fuchsiadale/cell/time_bounds.py
@@ -5,13 +5,17 @@
 from attrs import frozen
 
 KEY_REVOCATION_MARGIN_S = 1.0
-"""Seconds by which the age bound for accepting keys is below the revocation bound.
+"""Seconds by which `max_key_staleness_s` is smaller than `key_revocation_s`.
 
 A start order may take this long to reach its worker over a slow network.
 """
 
 READY_MARGIN_S = 1.0
-"""Seconds by which a process stops being ready before it stops accepting keys."""
+"""Seconds by which `max_ready_staleness_s` is smaller than `max_key_staleness_s`.
+
+A process whose configuration is not confirmed thus stops being ready before it stops
+accepting keys.
+"""
 
 MIN_JOB_RETENTION_S = 600.0
 """Minimum number of seconds for which ended jobs are kept.
@@ -39,9 +43,9 @@
     Attributes
     ----------
     max_lease_s : float
-        Longest lease that a worker grants, in seconds.
+        Longest lease that a worker accepts from an owner, in seconds.
     key_revocation_s : float
-        Seconds after its withdrawal by which a key must be rejected.
+        Maximum number of seconds from the revocation of a key until it is rejected.
     status_retention_s : float
         Seconds for which the state of an ended job must be available to callers.
     shutdown_grace_s : float
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -47,7 +47,7 @@
         self.task = asyncio.create_task(self.committer.run())
 
 
-def test_later_owner_loads_recorded_runs_and_final_state():
+def test_stored_cell_contains_started_run_and_then_final_job_state():
     async def main() -> None:
         setup = CommitterSetup()
         cell = setup.cell
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -39,8 +39,8 @@
         with suppress(TimeoutError):
             await asyncio.wait_for(self.connection_lost.wait(), timeout_s)
 
-    def end_process(self) -> None:
-        """End the owner's process, so that its address refuses connections."""
+    def refuse_connections(self) -> None:
+        """Close the connection and refuse new ones, as when the process has ended."""
         self.status = None
         self.is_refused = True
         self.connection_lost.set()
@@ -126,7 +126,7 @@
         candidate = Candidate()
         candidate.owner_client.status = make_status()
         await candidate.renew_owner(2.0)
-        candidate.owner_client.end_process()
+        candidate.owner_client.refuse_connections()
         await asyncio.sleep(1.0)
         assert [acquired.row.epoch for acquired in candidate.acquisitions] == [5]
 
@@ -138,7 +138,7 @@
         candidate = Candidate()
         candidate.owner_client.status = make_status()
         await candidate.renew_owner(2.0)
-        candidate.owner_client.end_process()
+        candidate.owner_client.refuse_connections()
         await candidate.renew_owner(12.0)
         assert candidate.acquisitions == []
 
--- a/tests/test_cell_time_bounds.py
+++ b/tests/test_cell_time_bounds.py
@@ -8,7 +8,9 @@
 
 
 @pytest.mark.parametrize("revocation_s", [3.0, 5.0, 20.0])
-def test_readiness_and_then_keys_end_before_the_revocation_bound(revocation_s: float):
+def test_process_becomes_unready_and_then_rejects_keys_before_revocation_bound(
+    revocation_s: float,
+):
     bounds = TimeBounds(key_revocation_s=revocation_s)
     assert bounds.max_ready_staleness_s < bounds.max_key_staleness_s < revocation_s
 
