--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -39,7 +39,7 @@
         self._paused_until_s: dict[str, float] = {}
 
     @property
-    def usable_lane_count(self) -> int:
+    def lane_count(self) -> int:
         """Number of idle and busy lanes that are not paused.
 
         It is the maximum number of concurrent calls.
