--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""The real processes of a cell, each signalled and ended by its own id."""
+"""Starts the processes of a cell; signals each one only by its own process id."""
 
 from __future__ import annotations
 
@@ -11,24 +11,31 @@
 from attrs import define, field
 
 COMMAND = (sys.executable, "-m", "fuchsiadale.platform.main")
-CALLERS_PORT, READINESS_PORT = 8686, 8689
-STOP_PATIENCE_S = 20.0
+CLIENT_PORT, READINESS_PORT = 8686, 8689
+EXIT_TIMEOUT_S = 20.0
+"""Seconds within which a killed process must exit."""
 
 
 @define(eq=False)
 class Node:
-    """One process and its settings.
+    """A scheduler process, and the settings with which it is started.
 
     Attributes
     ----------
     name : str
-        The machine's name.
+        Name of the node, also of its settings file and log file.
     ip : str
-        Its loopback address.
+        Loopback address on which the process listens.
     store_address : str
-        Where it finds the store: a proxy of its own.
+        Host and port of the store, or of a proxy in front of it.
     folder : Path
-        Takes its settings and its log.
+        Folder that holds the settings file and the log file.
+    process : Popen or None
+        The process that was started last; None before the first start.
+    start_count : int
+        Number of times that the process was started.
+    should_run : bool
+        False once `kill` was called; nothing reads it.
     """
 
     name: str
@@ -36,55 +43,61 @@
     store_address: str
     folder: Path
     process: subprocess.Popen[bytes] | None = None
-    starts: int = 0
-    is_wanted: bool = field(default=True)
+    start_count: int = 0
+    should_run: bool = field(default=True)
 
     @property
     def url(self) -> str:
-        """Where it answers callers."""
-        return f"http://{self.ip}:{CALLERS_PORT}"
+        """URL at which the process serves clients."""
+        return f"http://{self.ip}:{CLIENT_PORT}"
 
     @property
     def is_running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def start(self) -> None:
-        """Start the process."""
-        settings = self.folder / f"{self.name}.conf"
-        settings.write_text(self._settings())
-        self.starts += 1
-        log = (self.folder / f"{self.name}.log").open("ab")
+        """Write the settings file and start the process."""
+        settings_file = self.folder / f"{self.name}.conf"
+        settings_file.write_text(self._format_settings())
+        self.start_count += 1
+        log_file = (self.folder / f"{self.name}.log").open("ab")
         self.process = subprocess.Popen(
             COMMAND,
-            stdout=log,
+            stdout=log_file,
             stderr=subprocess.STDOUT,
             env={
-                "FUCHSIADALE_BOOT": str(settings),
+                "FUCHSIADALE_BOOT": str(settings_file),
                 "PATH": "/usr/bin:/bin",
                 "PYTHONPATH": os.environ.get("PYTHONPATH", ""),
             },
         )
-        log.close()
+        log_file.close()
 
-    def signal(self, number: Signals) -> None:
-        """Signal the process if it runs."""
+    def signal_process(self, signal_number: Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.is_running and self.process is not None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
-    def end(self) -> None:
-        """End the process for good."""
-        self.is_wanted = False
-        self.signal(SIGCONT)
-        self.signal(SIGKILL)
+    def kill(self) -> None:
+        """Kill the process at the end of the test and wait until it has exited.
+
+        Raises
+        ------
+        subprocess.TimeoutExpired
+            If the process has not exited after `EXIT_TIMEOUT_S`.
+        """
+        self.should_run = False
+        self.signal_process(SIGCONT)
+        self.signal_process(SIGKILL)
         if self.process is not None:
-            self.process.wait(STOP_PATIENCE_S)
+            self.process.wait(EXIT_TIMEOUT_S)
 
-    def _settings(self) -> str:
+    def _format_settings(self) -> str:
         lines = (
             f"node_name={self.name}",
             f"ip={self.ip}",
-            f"listen.front={self.ip}:{CALLERS_PORT}",
+            f"listen.front={self.ip}:{CLIENT_PORT}",
             f"listen.ready={self.ip}:{READINESS_PORT}",
             "internal_port_range=7180,7195",
             f"platform.address={self.store_address}",
