--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -216,7 +216,7 @@
     def note_predecessor_stopped(self) -> None:
         """Bound the leases of the former owner, which has certainly stopped."""
         lease_ends_s = LoopClock().now() + self._predecessor_lease_s
-        self._scheduler.bound_predecessor_leases(lease_ends_s)
+        self._scheduler.bound_previous_owner_leases(lease_ends_s)
 
     def take_row(self, key: str, value: bytes) -> None:
         """Process a row of the job table; the watch and a peer may both deliver it."""
--- a/src/fuchsiadale/entry/hosted_partition.py
+++ b/src/fuchsiadale/entry/hosted_partition.py
@@ -12,8 +12,8 @@
 from fuchsiadale.decision.rows import (
     JournalEntry,
     JournalRow,
+    JournalSegment,
     PartitionRow,
-    Segment,
     partition_key,
 )
 from fuchsiadale.entry.identity import Identity
@@ -143,7 +143,8 @@
     async def _snapshot(self, first: int) -> None:
         """Write a snapshot that holds everything recorded before row `first`."""
         entry = JournalEntry(
-            self.driver.name, list(self.driver.partition.book.snapshot())
+            self.driver.name,
+            list(self.driver.partition.work_registry.snapshot_events()),
         )
         name = f"snapshot/{self.driver.name}/{self.row.epoch}-{first}"
         self.driver.events_since_snapshot = 0
@@ -151,7 +152,7 @@
         if isinstance(written, Err):
             return
         former = self.row.snapshot
-        segment = Segment(self._identity.member, first)
+        segment = JournalSegment(self._identity.member, first)
         if await self._write_row(evolve(self.row, snapshot=name, segments=(segment,))):
             self._counters.add("ownership.snapshot")
             if former:
