--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -46,8 +46,8 @@
 LOAD_RETRY_DELAY_S = 0.2
 """Seconds between two attempts of a new owner to read the stored cell."""
 
-PREDECESSOR_POLL_INTERVAL_S = 0.5
-"""Seconds between two calls to a former owner to learn whether it has stopped."""
+PREVIOUS_OWNER_POLL_INTERVAL_S = 0.5
+"""Seconds between two calls to a previous owner to learn whether it has stopped."""
 
 METRICS_PORT = 9464
 """Port on which metrics are served, as given in the deployment file."""
@@ -239,21 +239,21 @@
             previous_owner = acquired.previous_owner
             self._supervisor.start(
                 "predecessor",
-                lambda: self._await_predecessor_stop(
+                lambda: self._await_previous_owner_stop(
                     owner, previous_owner.address, previous_owner.incarnation
                 ),
             )
         return True
 
-    async def _await_predecessor_stop(
+    async def _await_previous_owner_stop(
         self, owner: Owner, address: str, incarnation: str
     ) -> None:
-        """Poll the former owner and notify `owner` when it has stopped.
+        """Poll the previous owner and notify `owner` when it has stopped.
 
         The polling ends early if this process loses the ownership.
         """
         if address == self._identity.peer_address:
-            owner.note_predecessor_stopped()
+            owner.note_previous_owner_stopped()
             return
         client = PeerClient(address)
         try:
@@ -267,9 +267,9 @@
                 if status is not None and (
                     status.incarnation != incarnation or not status.is_owner
                 ):
-                    owner.note_predecessor_stopped()
+                    owner.note_previous_owner_stopped()
                     return
-                await asyncio.sleep(PREDECESSOR_POLL_INTERVAL_S)
+                await asyncio.sleep(PREVIOUS_OWNER_POLL_INTERVAL_S)
         finally:
             await client.close()
 
--- a/src/fuchsiadale/cell/owner.py
+++ b/src/fuchsiadale/cell/owner.py
@@ -63,7 +63,7 @@
 """Seconds before a stop order that was not acknowledged is sent again."""
 
 TAKEOVER_MARGIN_S = 0.5
-"""Seconds added to the end of a former owner's leases for orders still in transit."""
+"""Seconds added to a previous owner's leases, as its orders may be in transit."""
 
 
 class Owner:
@@ -149,11 +149,11 @@
         self,
         stored: StoredCell,
         configuration: CellConfiguration,
-        has_predecessor: bool,
+        has_previous_owner: bool,
     ) -> None:
         """Recover the stored state and start to schedule.
 
-        `has_predecessor` tells whether a former owner may have runs on the workers.
+        With `has_previous_owner`, a previous owner may still have runs on the workers.
         """
         now_unix_s = unix_time_s()
         self._scheduler.apply_configuration(configuration)
@@ -164,7 +164,7 @@
             self._scheduler.cancel(job_id)
         self._pending_counts = self._scheduler.count_pending()
         self._update_workers(tuple(row.entry for row in stored.workers))
-        if has_predecessor:
+        if has_previous_owner:
             self._restore_runs(stored.workers)
         self._execute_orders(self._scheduler.pop_orders())
         for name, child in (
@@ -184,15 +184,15 @@
         )
 
     def _restore_runs(self, workers: tuple[WorkerRow, ...]) -> None:
-        # A former owner may extend leases until it stops, MAX_RENEWAL_AGE_S from now.
-        lease_ends_s = LoopClock().now() + MAX_RENEWAL_AGE_S + self._predecessor_lease_s
+        # A previous owner may extend leases until it stops, MAX_RENEWAL_AGE_S from now.
+        ends_s = LoopClock().now() + MAX_RENEWAL_AGE_S + self._previous_owner_lease_s
         for row in workers:
             worker_id = row.entry.worker_id
-            self._scheduler.restore_runs(worker_id, row.runs, lease_ends_s)
+            self._scheduler.restore_runs(worker_id, row.runs, ends_s)
 
     @property
-    def _predecessor_lease_s(self) -> float:
-        """Seconds from a former owner's last order until all its runs have ended."""
+    def _previous_owner_lease_s(self) -> float:
+        """Seconds from a previous owner's last order until all its runs have ended."""
         return lapse_after_s(self._bounds.max_lease_s) + TAKEOVER_MARGIN_S
 
     async def stop(self) -> None:
@@ -213,10 +213,10 @@
         self._scheduler.apply_configuration(configuration)
         self._plan_requested.set()
 
-    def note_predecessor_stopped(self) -> None:
-        """Bound the leases of the former owner, which has certainly stopped."""
-        lease_ends_s = LoopClock().now() + self._predecessor_lease_s
-        self._scheduler.bound_previous_owner_leases(lease_ends_s)
+    def note_previous_owner_stopped(self) -> None:
+        """Bound the leases of the previous owner, which has certainly stopped."""
+        ends_s = LoopClock().now() + self._previous_owner_lease_s
+        self._scheduler.bound_previous_owner_leases(ends_s)
 
     def take_row(self, key: str, value: bytes) -> None:
         """Process a row of the job table; the watch and a peer may both deliver it."""
--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -167,7 +167,7 @@
     def owner_status(self) -> OwnerStanding | None:
         """Last status that a process reported as the owner; None if there is none yet.
 
-        The process may be a former owner.
+        The process may be a previous owner.
         """
         return self._owner_status
 
