--- a/src/fuchsiadale/cell/advice_pool.py
+++ b/src/fuchsiadale/cell/advice_pool.py
@@ -50,7 +50,7 @@
         """Replace the clients of the peers' lanes; keys are the peers' addresses."""
         self._clients = {"": self._clients[""], **clients}
 
-    async def request_advice(self, order: RequestAdvice) -> Advice | None:
+    async def ask(self, order: RequestAdvice) -> Advice | None:
         """Return the advice, or None without an idle lane or a successful reply."""
         lane = self._find_idle_lane()
         if lane is None:
--- a/src/fuchsiadale/cell/boot_clock.py
+++ b/src/fuchsiadale/cell/boot_clock.py
@@ -7,7 +7,7 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """Event loop on CLOCK_BOOTTIME, so that leases also lapse during a suspension."""
+    """Event loop on CLOCK_BOOTTIME, so that leases also expire during a suspension."""
 
     def time(self) -> float:
         """Return seconds since the machine booted."""
--- a/src/fuchsiadale/cell/committer.py
+++ b/src/fuchsiadale/cell/committer.py
@@ -29,7 +29,8 @@
 RENEWAL_INTERVAL_S = 0.45
 """Seconds between two renewals of the ownership.
 
-Peers suspect an owner that does not answer or that has not renewed for two intervals.
+Peers suspect an owner whose last renewal is more than two intervals old, even if it
+still answers; see `STALE_RENEWAL_AGE_S` in the module `ownership`.
 """
 
 BATCHING_DELAY_S = 0.006
--- a/src/fuchsiadale/cell/daemon.py
+++ b/src/fuchsiadale/cell/daemon.py
@@ -38,16 +38,13 @@
 """Seconds after its last sync call from which a peer is not asked for advice."""
 
 MAX_LOAD_ATTEMPTS = 8
-"""Attempts of a new owner to read the stored cell before it stops being the owner.
-
-An attempt also fails while the process has no configuration.
-"""
+"""Attempts of a new owner to load the stored cell before it gives up the ownership."""
 
 LOAD_RETRY_DELAY_S = 0.2
 """Seconds between two attempts of a new owner to read the stored cell."""
 
-PREDECESSOR_POLL_INTERVAL_S = 0.5
-"""Seconds between two calls to a former owner to learn whether it has stopped."""
+PREVIOUS_OWNER_POLL_INTERVAL_S = 0.5
+"""Seconds between two calls to a previous owner to learn whether it has stopped."""
 
 METRICS_PORT = 9464
 """Port on which metrics are served, as given in the deployment file."""
@@ -104,12 +101,10 @@
     dependencies : CellDependencies
         Interfaces of the external systems.
     bounds : TimeBounds
-        Time bounds that the deployment sets.
+        Time bounds that the deployment sets; also an attribute.
 
     Attributes
     ----------
-    bounds : TimeBounds
-        Time bounds that the deployment sets.
     metrics : CellMetrics
         Metrics of the process.
     gateway : Gateway
@@ -181,10 +176,7 @@
         self._supervisor.start("lanes", self._refresh_advice_peers)
 
     async def begin_shutdown(self) -> None:
-        """End readiness, resign if this is the owner, and wait for `unready_period_s`.
-
-        Calls are still answered during the wait.
-        """
+        """End readiness, resign as owner and answer calls for `unready_period_s`."""
         self._is_leaving = True
         self._ownership.is_leaving = True
         log_message("stopping", is_owner=self._owner is not None)
@@ -202,13 +194,8 @@
         await self._server.stop(0.1)
         log_message("stopped")
 
-    # Ownership
-
     async def _start_owner(self, acquired: AcquiredOwnership) -> bool:
-        """Load the stored cell and start to schedule; return whether this succeeded.
-
-        It fails without a stored cell or without a configuration.
-        """
+        """Start to schedule; return False without a readable cell or configuration."""
         self.metrics.takeovers.labels("taken").inc()
         for _ in range(MAX_LOAD_ATTEMPTS):
             configuration = self._configuration.current
@@ -239,21 +226,18 @@
             previous_owner = acquired.previous_owner
             self._supervisor.start(
                 "predecessor",
-                lambda: self._await_predecessor_stop(
+                lambda: self._await_previous_owner_stop(
                     owner, previous_owner.address, previous_owner.incarnation
                 ),
             )
         return True
 
-    async def _await_predecessor_stop(
+    async def _await_previous_owner_stop(
         self, owner: Owner, address: str, incarnation: str
     ) -> None:
-        """Poll the former owner and notify `owner` when it has stopped.
-
-        The polling ends early if this process loses the ownership.
-        """
+        """Notify `owner` when the previous owner stops; end early on ownership loss."""
         if address == self._identity.peer_address:
-            owner.note_predecessor_stopped()
+            owner.note_previous_owner_stopped()
             return
         client = PeerClient(address)
         try:
@@ -267,9 +251,9 @@
                 if status is not None and (
                     status.incarnation != incarnation or not status.is_owner
                 ):
-                    owner.note_predecessor_stopped()
+                    owner.note_previous_owner_stopped()
                     return
-                await asyncio.sleep(PREDECESSOR_POLL_INTERVAL_S)
+                await asyncio.sleep(PREVIOUS_OWNER_POLL_INTERVAL_S)
         finally:
             await client.close()
 
@@ -286,8 +270,6 @@
         if self._owner is not None:
             self._owner.apply_configuration(configuration)
 
-    # Peers
-
     def _handle_sync(
         self, node: str, address: str, epoch: int, is_leaving: bool
     ) -> PeerStatus:
@@ -311,8 +293,7 @@
                 owner.count_pending(),
                 owner.cannot_renew,
             )
-        # A process that has acquired the ownership already owns the cell while it still
-        # loads the stored state.
+        # A new owner already owns the cell while it still loads the stored state.
         return PeerStatus(
             ownership.incarnation,
             ownership.is_owner,
@@ -345,10 +326,7 @@
         task.add_done_callback(self._notify_tasks.discard)
 
     async def _refresh_advice_peers(self) -> None:
-        """Limit the advice pool to peers that called within `PEER_TIMEOUT_S`.
-
-        The metric of the configuration's age is updated at the same interval.
-        """
+        """Limit advice to peers seen within `PEER_TIMEOUT_S`; update the age metric."""
         while True:
             now_s = asyncio.get_running_loop().time()
             active_addresses = {
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -326,7 +326,7 @@
         self._reported_through = max(self._reported_through, self._acknowledged_through)
         self._callbacks.on_report(self.worker_id, report, sent_s)
         if is_first_report and report.running:
-            # A former owner started these runs and may have extended their leases.
+            # A previous owner started these runs and may have extended their leases.
             self._callbacks.on_lease_extended(
                 self.worker_id, now_s + lease_expiry_delay_s(self._lease_s)
             )
