--- a/src/fuchsiadale/cell/__init__.py
+++ b/src/fuchsiadale/cell/__init__.py
@@ -1,1 +1,4 @@
-"""The daemon that schedules jobs of steps on the users' platform."""
+"""Daemon of a cell, which schedules multi-step jobs on workers of the users' platform.
+
+A cell is a group of processes; one of them owns the cell and schedules its jobs.
+"""
--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -7,7 +7,7 @@
 
 import click
 
-from fuchsiadale.cell.explain import story_of
+from fuchsiadale.cell.explain import collect_job_events
 from fuchsiadale.cli.exits import ExitCode
 from fuchsiadale.cli.output import exit_with_error
 
@@ -21,7 +21,7 @@
     Reads standard input if no log is given.
     """
     lines = [line for log in logs or (sys.stdin,) for line in log]
-    history = story_of(job_id, lines)
+    history = collect_job_events(job_id, lines)
     if not history:
         exit_with_error(f"no log line names job {job_id}", ExitCode.REFUSED)
     for line in history:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -10,7 +10,7 @@
 from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.decision.ledger import WorkerInfo
-from fuchsiadale.entry.node import EntryNode, Platform
+from fuchsiadale.entry.node import EntryNode, PlatformClients
 from fuchsiadale.ids import IdSource
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.table import (
@@ -107,7 +107,7 @@
             self.start_node(f"entry-{index}")
         first = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
-        changed = await first.config.change_folder(
+        changed = await first.config.replace_from_files(
             [SourceFile("all.yaml", self._config)], None
         )
         changed.unwrap()
@@ -145,7 +145,7 @@
             platform_url="",
             drain_notice_s=0.5,
         )
-        platform = Platform(
+        platform = PlatformClients(
             LinkedTable(self.state, links),
             LinkedObjects(self.state, links),
             MemoryHostList(self.state),
