--- a/src/fuchsiadale/entry/admin_api.py
+++ b/src/fuchsiadale/entry/admin_api.py
@@ -216,7 +216,7 @@
 
     Parameters
     ----------
-    document : Located
+    document : DocumentNode
         The parsed body.
 
     Attributes
--- a/src/fuchsiadale/entry/callers_api.py
+++ b/src/fuchsiadale/entry/callers_api.py
@@ -135,7 +135,7 @@
         team = self._authenticate(request)
         if isinstance(team, Err):
             return self._refuse(team.err_value)
-        views = await self._router.list_team(team.ok_value)
+        views = await self._router.list_team_jobs(team.ok_value)
         if isinstance(views, Err):
             return self._refuse(views.err_value)
         return json_response({"jobs": [job_fields(view) for view in views.ok_value]})
--- a/src/fuchsiadale/entry/grants_driver.py
+++ b/src/fuchsiadale/entry/grants_driver.py
@@ -159,11 +159,11 @@
         }
         document = self._get_document()
         for driver in current:
-            teams = self._partitions.setdefault(driver, _PartitionGrants())
-            for name in self._active_teams(driver, teams):
+            grants = self._partitions.setdefault(driver, _PartitionGrants())
+            for name in self._active_teams(driver, grants):
                 team = document.configuration.teams.get(name)
                 if team is not None and team.limit != NO_LIMIT:
-                    state = teams.by_team.setdefault(name, _GrantState())
+                    state = grants.by_team.setdefault(name, _GrantState())
                     await self._update_team(driver, name, team, state, document.version)
 
     def _active_teams(
--- a/src/fuchsiadale/entry/router.py
+++ b/src/fuchsiadale/entry/router.py
@@ -220,7 +220,7 @@
             work_id, lambda gateway: gateway.show(work_id, hold_s)
         )
 
-    async def list_team(self, team: str) -> Result[list[WorkView], Refusal]:
+    async def list_team_jobs(self, team: str) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in all partitions with a connected owner."""
         views: list[WorkView] = []
         for partition, owner in sorted(self._directory.owners.items()):
