--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -65,7 +65,7 @@
     return partition
 
 
-def submissions(teams: int) -> Iterator[Submission]:
+def generate_submissions(teams: int) -> Iterator[Submission]:
     """Yield requests of several sizes, the teams in turn."""
     number = 0
     while True:
@@ -86,10 +86,10 @@
         )
 
 
-def measure(workers: int, teams: int) -> DecisionLatency:
+def measure_decisions(workers: int, teams: int) -> DecisionLatency:
     """Measure decisions on a fleet of `workers` with `teams` active teams."""
     partition = make_partition(workers)
-    source = submissions(teams)
+    source = generate_submissions(teams)
     running: list[str] = []
     target = workers * CAPACITY.slots * 9 // 10
     while len(running) < target:
@@ -124,7 +124,7 @@
     """Measure every size."""
     for workers in FLEETS:
         for teams in TEAM_COUNTS:
-            yield measure(workers, teams)
+            yield measure_decisions(workers, teams)
 
 
 def _decide(partition: Partition, submission: Submission) -> list[str]:
--- a/bench/main.py
+++ b/bench/main.py
@@ -15,7 +15,7 @@
 from bench.decisions import measure_all
 from bench.memory import measure_all as measure_memory
 from bench.paths import CALLERS, WORKER_COUNTS, PathBench
-from bench.policies import all_plans, play
+from bench.policies import list_experiments, run_experiment
 
 RESULT = Path(__file__).resolve().parent / "results" / "latest.json"
 PARALLEL_RUNS = 4
@@ -34,7 +34,7 @@
     result["memory"] = _shown("memory", list(measure_memory()))
     result["paths"] = _shown("path", _measure_paths())
     with ProcessPoolExecutor(PARALLEL_RUNS) as executor:
-        policies = list(executor.map(play, all_plans()))
+        policies = list(executor.map(run_experiment, list_experiments()))
     result["policies"] = _shown("policy", policies)
     RESULT.parent.mkdir(exist_ok=True)
     RESULT.write_text(json.dumps(result, indent=1) + "\n", "utf-8")
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -8,7 +8,7 @@
 
 from attrs import evolve, frozen
 
-from bench.decisions import make_partition, submissions
+from bench.decisions import generate_submissions, make_partition
 from fuchsiadale.codec import encode
 from fuchsiadale.config.model import (
     ConfigDocument,
@@ -65,7 +65,7 @@
 
 def _requests(count: int) -> object:
     partition = make_partition(SMALL_COUNT)
-    source = submissions(6)
+    source = generate_submissions(6)
     for _ in range(count):
         partition.accept(next(source))
     partition.step()
@@ -74,7 +74,7 @@
 
 def _ended_requests(count: int) -> object:
     partition = make_partition(SMALL_COUNT)
-    source = submissions(6)
+    source = generate_submissions(6)
     for _ in range(count):
         partition.accept(next(source))
         for attempt in partition.step().starts:
@@ -87,7 +87,7 @@
 
 def _batch_tasks(count: int) -> object:
 
-    source = submissions(6)
+    source = generate_submissions(6)
     return [
         make_work(evolve(next(source), kind=WorkKind.BATCH, tasks=100), 0.0)
         for _ in range(count // 100)
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -14,7 +14,7 @@
 from attrs import frozen
 from hdrh.histogram import HdrHistogram
 
-from tools.processes import ProcessCluster, call
+from tools.processes import ProcessCluster, call_http
 
 CONFIG = """\
 teams: {guild: {}}
@@ -101,12 +101,14 @@
     def __enter__(self) -> PathBench:
         """Start the cluster and wait until the partitions have settled."""
         self._cluster.start()
-        self._cluster.admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
+        self._cluster.call_admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
         self._cluster.wait_for_owner("general.0")
         self._cluster.wait_for_owner("imaging.0")
         self._cluster.wait_until_ready()
-        self._key = self._cluster.admin("POST", "/keys", {"team": "guild"}).body["key"]
-        self._cluster.wait_for_same_version()
+        self._key = self._cluster.call_admin("POST", "/keys", {"team": "guild"}).body[
+            "key"
+        ]
+        self._cluster.wait_for_common_configuration()
         time.sleep(8.0)
         return self
 
@@ -204,7 +206,7 @@
             histogram.record_value(round((time.perf_counter() - began) * 1e6))
 
     def _counts(self) -> dict[str, int]:
-        counts: dict[str, int] = call(
+        counts: dict[str, int] = call_http(
             "GET", f"{self._cluster.platform_url}/counts"
         ).body
         return counts
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -14,7 +14,12 @@
 
 from attrs import define, evolve, field, frozen
 
-from bench.contenders import Contender, FirstCome, Fuchsiadale, RandomFit
+from bench.scheduling_policies import (
+    FirstComeFirstFit,
+    FuchsiadalePolicy,
+    RandomFit,
+    SchedulingPolicy,
+)
 from fuchsiadale.decision.clock import ManualClock
 from fuchsiadale.decision.fairness import OrderWeights
 from fuchsiadale.decision.ledger import Ledger, WorkerInfo
@@ -145,7 +150,7 @@
     waits_s: list[float] = field(factory=list)
 
 
-class PolicyRun:
+class PolicySimulation:
     """Plays one pool's hour with one contender.
 
     Parameters
@@ -202,12 +207,12 @@
             started=len(waits_s),
         )
 
-    def _make_contender(self, name: str) -> Contender:
-        makers: dict[str, Callable[[], Contender]] = {
-            "fuchsiadale": lambda: Fuchsiadale(
+    def _make_contender(self, name: str) -> SchedulingPolicy:
+        makers: dict[str, Callable[[], SchedulingPolicy]] = {
+            "fuchsiadale": lambda: FuchsiadalePolicy(
                 self._ledger, self._clock, self._user.weights, self._user.shares
             ),
-            "first_come_first_fit": lambda: FirstCome(self._ledger),
+            "first_come_first_fit": lambda: FirstComeFirstFit(self._ledger),
             "random_fit": lambda: RandomFit(self._ledger, SEED),
         }
         return makers[name]()
@@ -332,7 +337,7 @@
 
 
 @frozen
-class Plan:
+class Experiment:
     """One run to make."""
 
     user: User
@@ -341,18 +346,18 @@
     load: float
 
 
-def all_plans() -> Iterator[Plan]:
+def list_experiments() -> Iterator[Experiment]:
     """Yield a run of every user, pool, load and contender."""
     for user in USERS:
         for pool in user.pools:
             for load in LOADS:
                 for name in ("fuchsiadale", "first_come_first_fit", "random_fit"):
-                    yield Plan(user, pool, name, load)
+                    yield Experiment(user, pool, name, load)
 
 
-def play(plan: Plan) -> PolicyResult:
+def run_experiment(plan: Experiment) -> PolicyResult:
     """Make one run."""
-    return PolicyRun(plan.user, plan.pool, plan.contender, plan.load).run()
+    return PolicySimulation(plan.user, plan.pool, plan.contender, plan.load).run()
 
 
 def _fair_division(
--- a/bench/contenders.py
+++ b/bench/scheduling_policies.py
@@ -14,7 +14,7 @@
 from fuchsiadale.decision.work import Attempt, Task, TaskState
 
 
-class Contender(ABC):
+class SchedulingPolicy(ABC):
     """Places tasks on the workers of a ledger."""
 
     @abstractmethod
@@ -30,7 +30,7 @@
         """Give back the room of an attempt that ended."""
 
 
-class Fuchsiadale(Contender):
+class FuchsiadalePolicy(SchedulingPolicy):
     """The scheduler under test."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._scheduler.release(attempt)
 
 
-class FirstCome(Contender):
+class FirstComeFirstFit(SchedulingPolicy):
     """First come, first served, on the first worker that fits.
 
     The queue's head waits until it fits, and everything behind it waits with it.
@@ -107,7 +107,7 @@
         return Placement(task, attempt)
 
 
-class RandomFit(FirstCome):
+class RandomFit(FirstComeFirstFit):
     """First come, first served, on a random worker that fits."""
 
     def __init__(self, ledger: Ledger, seed: int) -> None:
--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -44,7 +44,10 @@
 
         The caller's key is kept for the runs that follow.
         """
-        files = {source.name: source.text for source in self._system.files()}
+        files = {
+            source.name: source.text
+            for source in self._system.list_configuration_files()
+        }
         applied = await self._admin.acall("PUT", "/admin/v1/config", {"files": files})
         if not applied.is_ok:
             return str(applied.body)
--- a/src/fuchsiadale/cli/main.py
+++ b/src/fuchsiadale/cli/main.py
@@ -24,7 +24,7 @@
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.backend_server import BackendServerStandIn
 from fuchsiadale.standin.dev import DevOptions, DevSystem
-from fuchsiadale.standin.fleet import WorkerShape, make_workers
+from fuchsiadale.standin.fleet import WorkerSize, make_workers
 from fuchsiadale.standin.platform import PlatformStandIn
 
 LOOPBACK = "127.0.0.1"
@@ -115,7 +115,7 @@
     failure_domains: int,
 ) -> None:
     """Run stand-in workers of one pool and enter them in the host list."""
-    shape = WorkerShape(cores, memory_gb, accelerators, slots)
+    shape = WorkerSize(cores, memory_gb, accelerators, slots)
     workers = make_workers(pool, count, shape, prefix, failure_domains)
     asyncio.run(_serve_workers(list(workers), port, platform_url))
 
--- a/src/fuchsiadale/standin/backend_server.py
+++ b/src/fuchsiadale/standin/backend_server.py
@@ -25,7 +25,7 @@
 from fuchsiadale.decision.clock import Clock
 from fuchsiadale.decision.ledger import WorkerInfo
 from fuchsiadale.decision.session import SessionRefusal
-from fuchsiadale.standin.http import make_answer, read_body
+from fuchsiadale.standin.http import make_response, read_body
 from fuchsiadale.standin.worker import StandInWorker, WorkerFaults
 
 SILENCE_S = 3600.0
@@ -80,7 +80,7 @@
     async def _open(self, app: web.Application) -> None:
         loop = asyncio.get_running_loop()
         for worker in self.workers.values():
-            self._watchers.append(loop.create_task(worker.watch_leases()))
+            self._watchers.append(loop.create_task(worker.enforce_leases()))
 
     async def _close(self, app: web.Application) -> None:
         for watcher in self._watchers:
@@ -119,12 +119,12 @@
         if worker.faults.drops_start_answers > 0:
             worker.faults.drops_start_answers -= 1
             await asyncio.sleep(SILENCE_S)
-        return make_answer(StartReplies(replies))
+        return make_response(StartReplies(replies))
 
     async def _stop(self, request: web.Request) -> web.Response:
         batch = await read_body(request, StopBatch)
         self._worker(request).stop(batch)
-        return make_answer(StartReplies([]))
+        return make_response(StartReplies([]))
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         worker = self._worker(request)
@@ -139,12 +139,14 @@
             for observation in worker.observations
         ]
         overfilled = [
-            name for name, worker in self.workers.items() if worker.overfilled
+            name
+            for name, worker in self.workers.items()
+            if worker.has_exceeded_capacity
         ]
         running = [
             attempt_id
             for worker in self.workers.values()
-            for attempt_id in worker.running
+            for attempt_id in worker.running_attempt_ids
         ]
         return web.json_response(
             {
@@ -165,5 +167,5 @@
     result: Result[ReportMessage, SessionRefusal],
 ) -> web.Response:
     if isinstance(result, Err):
-        return make_answer(RefusalMessage(result.err_value), status=409)
-    return make_answer(result.ok_value)
+        return make_response(RefusalMessage(result.err_value), status=409)
+    return make_response(result.ok_value)
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -16,7 +16,7 @@
 from fuchsiadale.entry.daemon import EntryDaemon
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.backend_server import BackendServerStandIn
-from fuchsiadale.standin.fleet import WorkerShape, make_workers
+from fuchsiadale.standin.fleet import WorkerSize, make_workers
 from fuchsiadale.standin.platform import PlatformStandIn
 
 LOOPBACK = "127.0.0.1"
@@ -55,7 +55,7 @@
         The operators' folder; a small one of its own if None.
     """
 
-    callers: Address
+    client_address: Address
     folder: Path | None = None
 
 
@@ -83,20 +83,20 @@
 
     async def start(self) -> EntryDaemon:
         """Start everything and return the entry."""
-        platform_url = await self.listen(self.platform.make_app())
+        platform_url = await self.serve(self.platform.make_app())
         workers = [
-            *make_workers("general", 4, WorkerShape(16, 64)),
-            *make_workers("imaging", 2, WorkerShape(64, 128, accelerators=8)),
+            *make_workers("general", 4, WorkerSize(16, 64)),
+            *make_workers("imaging", 2, WorkerSize(64, 128, accelerators=8)),
         ]
         backend = BackendServerStandIn(workers, LoopClock())
-        backend_url = await self.listen(backend.make_app())
+        backend_url = await self.serve(backend.make_app())
         await backend.register(platform_url, backend_url)
         settings = Settings(
             host="dev",
             region="local",
             failure_domain="domain-0",
-            callers=self._options.callers,
-            peers=Address(LOOPBACK, free_port()),
+            callers=self._options.client_address,
+            peers=Address(LOOPBACK, find_free_port()),
             platform_url=platform_url,
             admin_key_sha256=(hashlib.sha256(self.admin_key.encode()).hexdigest(),),
             drain_notice_s=0.0,
@@ -105,13 +105,13 @@
         await self.daemon.start()
         return self.daemon
 
-    def files(self) -> list[SourceFile]:
+    def list_configuration_files(self) -> list[SourceFile]:
         """Return the files of the configuration to apply."""
         if self._options.folder is not None:
             return list_files(self._options.folder)
         return DEFAULT_FILES
 
-    async def listen(self, app: web.Application) -> str:
+    async def serve(self, app: web.Application) -> str:
         """Serve an application on a free port and return its address."""
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
@@ -127,7 +127,7 @@
             await runner.cleanup()
 
 
-def free_port() -> int:
+def find_free_port() -> int:
     """Return a port on loopback that nobody listens on."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
--- a/src/fuchsiadale/standin/fleet.py
+++ b/src/fuchsiadale/standin/fleet.py
@@ -13,7 +13,7 @@
 
 
 @frozen
-class WorkerShape:
+class WorkerSize:
     """What each worker of a pool has room for."""
 
     cores: int
@@ -37,7 +37,7 @@
 def make_workers(
     pool: str,
     count: int,
-    shape: WorkerShape,
+    shape: WorkerSize,
     prefix: str = "",
     failure_domains: int = 3,
     fencing: bool = True,
--- a/src/fuchsiadale/standin/http.py
+++ b/src/fuchsiadale/standin/http.py
@@ -26,6 +26,6 @@
     return decoded.ok_value
 
 
-def make_answer(value: object, status: int = 200) -> web.Response:
+def make_response(value: object, status: int = 200) -> web.Response:
     """Return the HTTP answer that carries a typed value."""
     return web.Response(body=encode(value), status=status, content_type=CONTENT_TYPE)
--- a/src/fuchsiadale/standin/platform.py
+++ b/src/fuchsiadale/standin/platform.py
@@ -17,7 +17,7 @@
     TransactReply,
 )
 from fuchsiadale.ports.table import TableFailure, Transaction
-from fuchsiadale.standin.http import make_answer, read_body
+from fuchsiadale.standin.http import make_response, read_body
 from fuchsiadale.standin.table import (
     MemoryObjectStore,
     MemoryTable,
@@ -64,22 +64,22 @@
         row = await self._table.read(wanted.key)
         if isinstance(row, Err):
             return web.Response(status=503)
-        return make_answer(ReadReply(row.ok_value))
+        return make_response(ReadReply(row.ok_value))
 
     async def _scan(self, request: web.Request) -> web.Response:
         wanted = await read_body(request, ScanRequest)
         rows = await self._table.scan(wanted.prefix, wanted.start)
         if isinstance(rows, Err):
             return web.Response(status=503)
-        return make_answer(ScanReply(list(rows.ok_value)))
+        return make_response(ScanReply(list(rows.ok_value)))
 
     async def _transact(self, request: web.Request) -> web.Response:
         transaction = await read_body(request, Transaction)
         outcome = await self._table.transact(transaction)
         if not isinstance(outcome, Err):
-            return make_answer(TransactReply(outcome.ok_value.version))
+            return make_response(TransactReply(outcome.ok_value.version))
         if outcome.err_value is TableFailure.CONFLICT:
-            return make_answer(TransactReply(None))
+            return make_response(TransactReply(None))
         if outcome.err_value is TableFailure.UNKNOWN:
             await asyncio.sleep(LOST_ANSWER_DELAY_S)
         return web.Response(status=503)
@@ -104,7 +104,7 @@
     async def _list_hosts(self, request: web.Request) -> web.Response:
         self.state.counts.host_fetches += 1
         known_version = int(request.query.get("known_version", "0"))
-        return make_answer(self.state.list_hosts(known_version))
+        return make_response(self.state.list_hosts(known_version))
 
     async def _put_hosts(self, request: web.Request) -> web.Response:
         for info in await read_body(request, list[WorkerInfo]):
--- a/src/fuchsiadale/standin/table.py
+++ b/src/fuchsiadale/standin/table.py
@@ -70,17 +70,19 @@
     faults: PlatformFaults = field(factory=PlatformFaults)
     counts: PlatformCounts = field(factory=PlatformCounts)
     rows: dict[str, Row] = field(factory=dict)
-    keys: list[str] = field(factory=list)
-    version: int = 0
+    sorted_keys: list[str] = field(factory=list)
+    last_version: int = 0
     objects: dict[str, bytes] = field(factory=dict)
     workers: dict[str, WorkerInfo] = field(factory=dict)
-    hosts_version: int = 1
-    shown: HostListing | None = None
+    host_list_version: int = 1
+    last_listing: HostListing | None = None
 
     def scan(self, prefix: str, start: str) -> list[Row]:
         """Return the rows under a prefix in order of their keys."""
         found: list[Row] = []
-        for key in self.keys[bisect_left(self.keys, max(prefix, start)) :]:
+        for key in self.sorted_keys[
+            bisect_left(self.sorted_keys, max(prefix, start)) :
+        ]:
             if not key.startswith(prefix):
                 break
             found.append(self.rows[key])
@@ -94,41 +96,41 @@
                 row.version if row is not None else ABSENT_VERSION
             ) != condition.version:
                 return None
-        self.version += 1
+        self.last_version += 1
         for write in transaction.writes:
             self.counts.rows_written += 1
             if write.value is None:
                 self._delete(write.key)
                 continue
             if write.key not in self.rows:
-                insort(self.keys, write.key)
+                insort(self.sorted_keys, write.key)
             self.rows[write.key] = Row(
-                write.key, self.version, write.value, transaction.nonce
+                write.key, self.last_version, write.value, transaction.nonce
             )
-        return self.version
+        return self.last_version
 
     def put_worker(self, info: WorkerInfo) -> None:
         """Add a worker to the host list or change it."""
         self.workers[info.name] = info
-        self.hosts_version += 1
+        self.host_list_version += 1
 
     def remove_worker(self, name: str) -> None:
         """Remove a worker from the host list."""
         if self.workers.pop(name, None) is not None:
-            self.hosts_version += 1
+            self.host_list_version += 1
 
     def list_hosts(self, known_version: int) -> HostListing:
         """Return the host list as it shows."""
-        if not self.faults.hosts_frozen or self.shown is None:
+        if not self.faults.hosts_frozen or self.last_listing is None:
             workers = tuple(self.workers[name] for name in sorted(self.workers))
-            self.shown = HostListing(self.hosts_version, workers)
-        if self.shown.version == known_version:
-            return HostListing(self.shown.version, None)
-        return self.shown
+            self.last_listing = HostListing(self.host_list_version, workers)
+        if self.last_listing.version == known_version:
+            return HostListing(self.last_listing.version, None)
+        return self.last_listing
 
     def _delete(self, key: str) -> None:
         if self.rows.pop(key, None) is not None:
-            del self.keys[bisect_left(self.keys, key)]
+            del self.sorted_keys[bisect_left(self.sorted_keys, key)]
 
 
 class MemoryTable(TableService):
@@ -139,7 +141,7 @@
 
     async def read(self, key: str) -> Result[Row | None, TableFailure]:
         """Return a row, or None if it does not exist."""
-        if not await self._is_up():
+        if not await self._is_available():
             return Err(TableFailure.UNAVAILABLE)
         self._state.counts.reads += 1
         self._state.counts.rows_read += 1
@@ -149,7 +151,7 @@
         self, prefix: str, start: str = ""
     ) -> Result[Sequence[Row], TableFailure]:
         """Return the rows whose keys begin with `prefix`, from `start` on."""
-        if not await self._is_up():
+        if not await self._is_available():
             return Err(TableFailure.UNAVAILABLE)
         rows = self._state.scan(prefix, start)
         self._state.counts.reads += 1
@@ -160,7 +162,7 @@
         self, transaction: Transaction
     ) -> Result[Committed, TableFailure]:
         """Apply a transaction."""
-        if not await self._is_up():
+        if not await self._is_available():
             return Err(TableFailure.UNAVAILABLE)
         faults = self._state.faults
         self._state.counts.transactions += 1
@@ -175,7 +177,7 @@
             return Err(TableFailure.CONFLICT)
         return Ok(Committed(version))
 
-    async def _is_up(self) -> bool:
+    async def _is_available(self) -> bool:
         if self._state.faults.table_delay_s > 0:
             await asyncio.sleep(self._state.faults.table_delay_s)
         return not self._state.faults.table_down
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -119,8 +119,8 @@
         self.info = info
         self.faults = WorkerFaults()
         self.observations: list[Observation] = []
-        self.peak_use = NO_RESOURCES
-        self.overfilled = False
+        self.peak_allocation = NO_RESOURCES
+        self.has_exceeded_capacity = False
         self._clock = clock
         self._session = WorkerSession(clock.now(), rules)
         self._runs: dict[str, _Run] = {}
@@ -130,7 +130,7 @@
         self._changed = asyncio.Event()
 
     @property
-    def used(self) -> Resources:
+    def allocated_resources(self) -> Resources:
         """What the running attempts take."""
         total = NO_RESOURCES
         for run in self._runs.values():
@@ -138,7 +138,7 @@
         return total
 
     @property
-    def usage(self) -> Resources:
+    def used_resources(self) -> Resources:
         """What the running attempts really take.
 
         An attempt takes ``"takes"`` times what it declared, if its payload says so.
@@ -154,7 +154,7 @@
         return total
 
     @property
-    def running(self) -> list[str]:
+    def running_attempt_ids(self) -> list[str]:
         """The attempts that run."""
         return list(self._runs)
 
@@ -199,7 +199,7 @@
         for order in batch.orders:
             self._end(order.attempt_id, AttemptEnd.STOPPED, b"")
 
-    async def watch_leases(self) -> None:
+    async def enforce_leases(self) -> None:
         """End every attempt when its lease has lapsed."""
         while True:
             await asyncio.sleep(LEASE_CHECK_S)
@@ -234,9 +234,9 @@
             return SessionRefusal.NO_ROOM
         run = _Run(order, self._clock.now(), _takes_percent(order))
         self._runs[order.attempt_id] = run
-        self.peak_use = self.peak_use.maximum(self.used)
-        if not self.used.fits_in(self.info.capacity):
-            self.overfilled = True
+        self.peak_allocation = self.peak_allocation.maximum(self.allocated_resources)
+        if not self.allocated_resources.fits_in(self.info.capacity):
+            self.has_exceeded_capacity = True
         run.runner = asyncio.get_running_loop().create_task(self._run(order))
         return None
 
@@ -292,7 +292,7 @@
             boot_id=self._boot_id,
             leaving=self.faults.leaving,
             ended_through=self._end_count,
-            usage=self.usage,
+            usage=self.used_resources,
             running=running,
             ended=ended,
         )
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -20,12 +20,12 @@
 )
 from fuchsiadale.standin.worker import Observation, StandInWorker
 from tests.builders import make_worker_info
-from tests.links import (
-    LinkedObjects,
-    LinkedPeers,
-    LinkedTable,
-    LinkedWorkers,
-    Links,
+from tests.faulty_network import (
+    FaultyObjectStore,
+    FaultyPeerConnector,
+    FaultyTable,
+    FaultyWorkerConnector,
+    NetworkFaults,
 )
 
 CONFIG = """\
@@ -40,7 +40,7 @@
 """
 
 
-class CountingIds(IdSource):
+class SequentialIds(IdSource):
     """Makes identifiers in order."""
 
     def __init__(self, prefix: str) -> None:
@@ -75,20 +75,20 @@
         config: str = CONFIG,
     ) -> None:
         self.clock = LoopClock()
-        self.state = PlatformState()
-        self.links: dict[str, Links] = {}
+        self.platform_state = PlatformState()
+        self.network_faults: dict[str, NetworkFaults] = {}
         self.nodes: dict[str, EntryNode] = {}
         self.workers: dict[str, StandInWorker] = {}
         self._config = config
-        self._wanted_nodes = nodes
-        self._infos = workers or [make_worker_info(index) for index in range(3)]
-        self._watchers: list[asyncio.Task[None]] = []
-        self._starts = 0
+        self._node_count = nodes
+        self._worker_infos = workers or [make_worker_info(index) for index in range(3)]
+        self._lease_tasks: list[asyncio.Task[None]] = []
+        self._start_count = 0
 
     @property
-    def faults(self) -> PlatformFaults:
+    def platform_faults(self) -> PlatformFaults:
         """The platform's faults."""
-        return self.state.faults
+        return self.platform_state.faults
 
     @property
     def observations(self) -> list[Observation]:
@@ -101,9 +101,9 @@
 
     async def __aenter__(self) -> TestCluster:
         """Start everything and apply the configuration."""
-        for info in self._infos:
+        for info in self._worker_infos:
             self.add_worker(info)
-        for index in range(self._wanted_nodes):
+        for index in range(self._node_count):
             self.start_node(f"entry-{index}")
         first = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
@@ -111,14 +111,14 @@
             [SourceFile("all.yaml", self._config)], None
         )
         changed.unwrap()
-        await self.until_ready()
+        await self.wait_until_ready()
         return self
 
     async def __aexit__(self, *error: object) -> None:
         """Stop everything."""
         for node in self.nodes.values():
             await node.stop()
-        for watcher in self._watchers:
+        for watcher in self._lease_tasks:
             watcher.cancel()
         for worker in self.workers.values():
             worker.close()
@@ -127,15 +127,15 @@
         """Add a worker to the fleet and to the host list."""
         worker = StandInWorker(info, self.clock)
         self.workers[info.name] = worker
-        self.state.put_worker(evolve(info, address=info.name))
+        self.platform_state.put_worker(evolve(info, address=info.name))
         loop = asyncio.get_running_loop()
-        self._watchers.append(loop.create_task(worker.watch_leases()))
+        self._lease_tasks.append(loop.create_task(worker.enforce_leases()))
 
     def start_node(self, host: str) -> EntryNode:
         """Start an entry node; every start makes other identifiers."""
-        self._starts += 1
-        links = Links()
-        self.links[host] = links
+        self._start_count += 1
+        node_faults = NetworkFaults()
+        self.network_faults[host] = node_faults
         settings = Settings(
             host=host,
             region="local",
@@ -146,16 +146,16 @@
             drain_notice_s=0.5,
         )
         platform = Platform(
-            LinkedTable(self.state, links),
-            LinkedObjects(self.state, links),
-            MemoryHostList(self.state),
+            FaultyTable(self.platform_state, node_faults),
+            FaultyObjectStore(self.platform_state, node_faults),
+            MemoryHostList(self.platform_state),
         )
         node = EntryNode(
             settings,
             platform,
-            LinkedWorkers(self.workers, links),
-            LinkedPeers(lambda other: self._reachable(host, other)),
-            CountingIds(f"{host[-1]}{self._starts:02x}"),
+            FaultyWorkerConnector(self.workers, node_faults),
+            FaultyPeerConnector(lambda other: self._reachable(host, other)),
+            SequentialIds(f"{host[-1]}{self._start_count:02x}"),
         )
         node.start()
         self.nodes[host] = node
@@ -165,7 +165,7 @@
         """End a node at once, without a word to anybody."""
         await self.nodes.pop(host).stop()
 
-    async def until(
+    async def wait_until(
         self, condition: Callable[[], bool], limit_s: float = 60.0
     ) -> float:
         """Wait for a condition; return the seconds waited."""
@@ -176,16 +176,16 @@
                 raise AssertionError(f"did not come true within {limit_s} s")
         return self.clock.now() - began_s
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until every node is ready and the partition's owner may act."""
-        await self.until(
+        await self.wait_until(
             lambda: (
                 all(node.is_ready for node in self.nodes.values())
-                and self.owner() is not None
+                and self.find_owner() is not None
             )
         )
 
-    def owner(self, partition: str = "general.0") -> str | None:
+    def find_owner(self, partition: str = "general.0") -> str | None:
         """Return the host that owns a partition and may act for it."""
         for host, node in self.nodes.items():
             driver = node.ownership.drivers.get(partition)
@@ -193,23 +193,23 @@
                 return host
         return None
 
-    def other(self, host: str | None) -> str:
+    def find_other_host(self, host: str | None) -> str:
         """Return the first host that is not this one."""
         return next(name for name in self.nodes if name != host)
 
-    def cut_off(self, host: str) -> None:
+    def isolate(self, host: str) -> None:
         """Cut a node off from its peers, both ways."""
-        for name, links in self.links.items():
+        for name, node_faults in self.network_faults.items():
             if name == host:
-                links.cut_peers.update(set(self.links) - {host})
+                node_faults.unreachable_peers.update(set(self.network_faults) - {host})
             else:
-                links.cut_peers.add(host)
+                node_faults.unreachable_peers.add(host)
 
-    def runs_of(self, work_id: str) -> list[Observation]:
+    def list_runs(self, work_id: str) -> list[Observation]:
         """Return the ended runs of a piece of work."""
         return [o for o in self.observations if o.attempt_id.startswith(work_id)]
 
     def _reachable(self, host: str, other: str) -> EntryNode | None:
-        if other in self.links[host].cut_peers:
+        if other in self.network_faults[host].unreachable_peers:
             return None
         return self.nodes.get(other)
--- a/tests/links.py
+++ b/tests/faulty_network.py
@@ -56,60 +56,60 @@
 
 
 @define
-class Links:
+class NetworkFaults:
     """What one node cannot reach.
 
     Attributes
     ----------
-    store_cut, hosts_cut : bool
+    is_store_unreachable, is_host_list_unreachable : bool
         Whether the table and the object store, or the host list, are out of reach.
-    cut_peers : set of str
+    unreachable_peers : set of str
         Peers out of reach, by host.
-    cut_workers : set of str
+    unreachable_workers : set of str
         Workers out of reach.
-    lost_worker_answers : set of str
+    workers_losing_replies : set of str
         Workers whose answers do not arrive, though calls reach them.
     """
 
-    store_cut: bool = False
-    hosts_cut: bool = False
-    cut_peers: set[str] = field(factory=set)
-    cut_workers: set[str] = field(factory=set)
-    lost_worker_answers: set[str] = field(factory=set)
+    is_store_unreachable: bool = False
+    is_host_list_unreachable: bool = False
+    unreachable_peers: set[str] = field(factory=set)
+    unreachable_workers: set[str] = field(factory=set)
+    workers_losing_replies: set[str] = field(factory=set)
 
 
-class LinkedTable(MemoryTable):
+class FaultyTable(MemoryTable):
     """The table as one node reaches it."""
 
-    def __init__(self, state: PlatformState, links: Links) -> None:
+    def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
-        self._links = links
+        self._faults = faults
 
-    async def _is_up(self) -> bool:
+    async def _is_available(self) -> bool:
         await asyncio.sleep(NETWORK_DELAY_S)
-        return not self._links.store_cut and await super()._is_up()
+        return not self._faults.is_store_unreachable and await super()._is_available()
 
 
-class LinkedObjects(MemoryObjectStore):
+class FaultyObjectStore(MemoryObjectStore):
     """The object store as one node reaches it."""
 
-    def __init__(self, state: PlatformState, links: Links) -> None:
+    def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
-        self._links = links
+        self._faults = faults
 
     async def get(self, name: str) -> Result[bytes, object]:  # type: ignore[override]
         """Read an object."""
-        if self._links.store_cut:
+        if self._faults.is_store_unreachable:
             return Err(TableFailure.UNAVAILABLE)
         return await super().get(name)
 
 
-class LinkedWorker(BackendServer):
+class FaultyWorkerClient(BackendServer):
     """A stand-in worker as one node reaches it."""
 
-    def __init__(self, worker: StandInWorker, links: Links) -> None:
+    def __init__(self, worker: StandInWorker, faults: NetworkFaults) -> None:
         self._worker = worker
-        self._links = links
+        self._faults = faults
 
     async def adopt(self, order: AdoptOrder) -> Result[WorkerReport, CallFailure]:
         """Become the worker's owner."""
@@ -142,35 +142,37 @@
 
     async def _is_cut(self) -> bool:
         await asyncio.sleep(NETWORK_DELAY_S)
-        if self._worker.info.name in self._links.cut_workers:
+        if self._worker.info.name in self._faults.unreachable_workers:
             await asyncio.sleep(LOST_CALL_S)
             return True
         return False
 
     async def _answer(self, answer: Result[T, CallFailure]) -> Result[T, CallFailure]:
-        names = self._links.lost_worker_answers | self._links.cut_workers
+        names = self._faults.workers_losing_replies | self._faults.unreachable_workers
         if self._worker.info.name in names:
             await asyncio.sleep(LOST_CALL_S)
             return Err(CallFailure.UNKNOWN)
         return answer
 
 
-class LinkedWorkers(BackendConnector):
+class FaultyWorkerConnector(BackendConnector):
     """The workers as one node reaches them."""
 
-    def __init__(self, workers: dict[str, StandInWorker], links: Links) -> None:
+    def __init__(
+        self, workers: dict[str, StandInWorker], faults: NetworkFaults
+    ) -> None:
         self._workers = workers
-        self._links = links
+        self._faults = faults
 
     def connect(self, address: str) -> BackendServer:
         """Return a client of the backend server at an address."""
-        return LinkedWorker(self._workers[address], self._links)
+        return FaultyWorkerClient(self._workers[address], self._faults)
 
     async def close(self) -> None:
         """Close nothing."""
 
 
-class LinkedPeer(Peer):
+class FaultyPeer(Peer):
     """A node as one of its peers reaches it, by the same messages as over gRPC."""
 
     def __init__(
@@ -292,7 +294,7 @@
         return unreachable(self._member, "cut")
 
 
-class LinkedPeers(PeerConnector):
+class FaultyPeerConnector(PeerConnector):
     """The peers as one node reaches them."""
 
     def __init__(self, find: Callable[[str], EntryNode | None]) -> None:
@@ -300,7 +302,7 @@
 
     def connect(self, member: str, address: str) -> Peer:
         """Return the peer that listens at an address."""
-        return LinkedPeer(member, address.partition(":")[0], self._find)
+        return FaultyPeer(member, address.partition(":")[0], self._find)
 
 
 def _report(
--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -8,7 +8,7 @@
 
 import yaml
 
-from tools.processes import ADMIN_KEY, ProcessCluster, call, wait_until
+from tools.processes import ADMIN_KEY, ProcessCluster, call_http, wait_until
 
 WORK_ID = re.compile(r"(general|imaging)\.\d+\.[0-9a-f]{32}")
 WORKER = re.compile(r"(general|imaging)-\d")
@@ -46,7 +46,7 @@
     def _play_step(self, step: dict[str, Any]) -> dict[str, Any]:
         if "kill_owner" in step:
             owner = self._cluster.wait_for_owner(step["kill_owner"])
-            self._cluster.end(owner, SIGKILL)
+            self._cluster.stop_process(owner, SIGKILL)
             return {"step": f"kill the owner of {step['kill_owner']}"}
         if "owner" in step:
             self._cluster.wait_for_owner(step["owner"])
@@ -55,11 +55,11 @@
             self._cluster.wait_until_ready()
             return {"step": "every entry is ready"}
         if "in_force" in step:
-            self._cluster.wait_for_same_version()
+            self._cluster.wait_for_common_configuration()
             return {"step": "one version is in force everywhere"}
         if "faults" in step:
             url = f"{self._cluster.platform_url}/faults"
-            call("PUT", url, step["faults"])
+            call_http("PUT", url, step["faults"])
             return {"step": f"platform faults: {step['faults']}"}
         return self._call(step)
 
@@ -75,10 +75,12 @@
         url = self._cluster.url(entry) + path
         if "until" in step:
             wait_until(
-                lambda: step["until"] in str(call(method, url, None, headers).body),
+                lambda: (
+                    step["until"] in str(call_http(method, url, None, headers).body)
+                ),
                 step["until"],
             )
-        reply = call(method, url, step.get("body"), headers)
+        reply = call_http(method, url, step.get("body"), headers)
         for name, field in step.get("save", {}).items():
             self._saved[name] = str(reply.body[field])
         shown: dict[str, Any] = {"step": step["call"], "status": reply.status}
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -20,7 +20,7 @@
 from fuchsiadale.codec import encode
 from fuchsiadale.decision.workflow.jobs import JobState
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 from tests.workflow_builders import Cell, make_record
 
 ROW = OwnerRow("node", "1:1", "this", 1)
@@ -67,7 +67,7 @@
         assert stored.progress[make_record().job_id].state is JobState.COMPLETED
         assert recording.recorded[-1]["worker-0"].number == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ownership_is_renewed_and_a_successor_ends_it():
@@ -82,7 +82,7 @@
         await asyncio.sleep(1.0)
         assert recording.deposed == ["superseded"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_lost_answer_does_not_end_the_ownership():
@@ -93,7 +93,7 @@
         assert recording.deposed == []
         assert recording.committer.renewed_age_s < 1.0
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_stops_by_itself_when_it_cannot_renew():
@@ -106,7 +106,7 @@
         await asyncio.sleep(2.0)
         assert recording.deposed == ["not_renewed"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_resigned_cell_is_free_at_once():
@@ -119,7 +119,7 @@
         assert found.row is not None
         assert found.row.has_resigned
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ended_job_is_removed_from_the_store_after_its_retention_and_not_before():
@@ -147,7 +147,7 @@
         assert list(cell.scheduler.jobs) == [make_record(1).job_id]
         assert not cell.scheduler.expired_jobs
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_expired_jobs_are_kept_in_mind_until_the_store_took_their_removal():
@@ -168,7 +168,7 @@
         await asyncio.sleep(1.0)
         assert not cell.scheduler.expired_jobs
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_says_that_it_cannot_renew_only_after_some_refusals():
@@ -184,4 +184,4 @@
         await asyncio.sleep(0.5)
         assert not recording.committer.cannot_renew
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_daemon.py
+++ b/tests/test_cell_daemon.py
@@ -7,7 +7,7 @@
 from fuchsiadale.cell.daemon import CellDaemon, CellIdentity, CellSystems
 from fuchsiadale.cell.terms import CellTerms
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_process_that_still_reads_the_store_owns_the_cell():
@@ -23,4 +23,4 @@
         assert standing.pending is None
         following.cancel()
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -22,7 +22,7 @@
 )
 from fuchsiadale.ports.rows import StoreFailure
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 from tests.workflow_builders import make_configuration, make_queue, make_record
 
 JOB = make_record(1)
@@ -99,7 +99,7 @@
         assert await front.submit() is None
         assert [write.key for write in front.store.applied_writes] == [JOB.job_id]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 @pytest.mark.parametrize(
@@ -117,7 +117,7 @@
         await front.start()
         assert await front.submit(path, key) is kind
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_nothing_is_accepted_before_a_configuration_is_known():
@@ -125,7 +125,7 @@
         front = Front()
         assert await front.submit() is ErrorKind.CONFIG_STALE
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_keys_are_not_trusted_once_the_configuration_was_not_confirmed_for_long():
@@ -136,7 +136,7 @@
         await asyncio.sleep(4.5)
         assert await front.submit() is ErrorKind.CONFIG_STALE
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_lost_answer_of_the_store_is_made_good_by_asking_again():
@@ -146,7 +146,7 @@
         front.store.lost_answers = 1
         assert await front.submit() is None
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_outcome_that_stays_unknown_is_not_told_as_refused():
@@ -161,7 +161,7 @@
         front.store.transact = lose  # type: ignore[method-assign,assignment]
         assert await front.submit() is ErrorKind.OUTCOME_UNKNOWN
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_nothing_is_sent_to_a_store_that_is_known_not_to_answer():
@@ -173,7 +173,7 @@
         assert await front.submit() is ErrorKind.STORE_UNAVAILABLE
         assert front.store.applied_writes == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_state_and_cancel_are_answered_from_the_store_without_an_owner():
@@ -188,7 +188,7 @@
         assert (await front.gateway.show(call)).unwrap() is JobState.CANCELLED
         assert front.hints == [JOB.job_id, f"{JOB.job_id}/cancel"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_recorded_final_state_is_shown_without_an_owner():
@@ -201,7 +201,7 @@
         shown = await front.gateway.show(Call("host", PATH, "key"))
         assert shown.unwrap() is JobState.COMPLETED
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_count_is_not_told_without_an_owner_that_knows_it():
@@ -213,4 +213,4 @@
         counted = await front.gateway.count_pending(call)
         assert kind_of(counted) is ErrorKind.NO_OWNER
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_job_watch.py
+++ b/tests/test_cell_job_watch.py
@@ -7,7 +7,7 @@
 from fuchsiadale.cell.job_watch import JobWatch
 from fuchsiadale.cell.rows import JOB_TABLE
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_jobs_stored_while_the_history_was_lost_are_read_again():
@@ -24,4 +24,4 @@
         await asyncio.sleep(0.5)
         assert seen[-2:] == ["a", "b"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -10,7 +10,7 @@
 from fuchsiadale.cell.rows import CONTROL_TABLE, OWNER_KEY, OwnerRow, read_owner
 from fuchsiadale.codec import encode
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 OWNER = OwnerRow("owner", "1:1", "former", 4)
 
@@ -84,7 +84,7 @@
         await asyncio.sleep(1.0)
         assert [taking.row.epoch for taking in follower.taken] == [1]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_answers_is_followed():
@@ -94,7 +94,7 @@
         await asyncio.sleep(10.0)
         assert follower.taken == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_silent_owner_that_renews_is_not_replaced():
@@ -103,7 +103,7 @@
         await follower.renew(12.0)
         assert follower.taken == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_silent_owner_that_does_not_renew_is_replaced_within_three_seconds():
@@ -114,7 +114,7 @@
         await asyncio.sleep(3.0 - UNCHANGED_S)
         assert [taking.row.epoch for taking in follower.taken] == [5]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_whose_process_has_ended_is_replaced_within_a_second():
@@ -126,7 +126,7 @@
         await asyncio.sleep(1.0)
         assert [taking.row.epoch for taking in follower.taken] == [5]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_only_lost_its_connections_is_not_replaced():
@@ -138,7 +138,7 @@
         await follower.renew(12.0)
         assert follower.taken == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_process_that_started_again_is_replaced_at_once():
@@ -148,7 +148,7 @@
         await asyncio.sleep(0.6)
         assert len(follower.taken) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_process_takes_over_from_its_own_former_life():
@@ -157,7 +157,7 @@
         await asyncio.sleep(0.5)
         assert len(follower.taken) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_cannot_renew_is_replaced_while_the_store_answers():
@@ -167,7 +167,7 @@
         await asyncio.sleep(1.5)
         assert len(follower.taken) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_the_store_refuses_is_replaced_within_a_second():
@@ -177,7 +177,7 @@
         await asyncio.sleep(1.0)
         assert len(follower.taken) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_the_store_accepts_again_is_not_replaced():
@@ -193,7 +193,7 @@
             await asyncio.sleep(0.2)
         assert follower.taken == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_nobody_takes_over_while_the_store_is_down():
@@ -211,7 +211,7 @@
         found = (await read_owner(follower.store)).unwrap()
         assert found.row == OWNER
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_process_that_leaves_does_not_take_over():
@@ -221,4 +221,4 @@
         await asyncio.sleep(6.0)
         assert follower.taken == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -23,7 +23,7 @@
     WorkerAddress,
     WorkerClient,
 )
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 class Worker(WorkerClient):
@@ -110,7 +110,7 @@
         await asyncio.sleep(MEMORY_S)
         assert watched.worker.waits_s[-1] == LOOK_WAIT_S
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_many_workers_are_not_looked_at_more_often():
@@ -120,7 +120,7 @@
         losses.note()
         assert losses.limit_wait_s(LOOK_WAIT_S) == LOOK_WAIT_S
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_worker_that_answers_again_is_known_at_once():
@@ -136,7 +136,7 @@
         first_s = next(at_s for at_s in watched.reports_s if at_s > back_s)
         assert first_s - back_s < 0.5
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_leases_of_a_worker_that_stays_silent_lapse():
@@ -150,4 +150,4 @@
         await asyncio.sleep(2.0)
         assert max(watched.lease_ends_s) > asyncio.get_running_loop().time()
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -18,7 +18,7 @@
 from fuchsiadale.standin.worker import Observation
 from tests.builders import make_submission, make_worker_info
 from tests.cluster import CONFIG, TestCluster
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 HOSTS = ("entry-0", "entry-1", "entry-2")
 WORKERS = tuple(f"worker-{index}" for index in range(4))
@@ -81,8 +81,10 @@
         await asyncio.wait([*calls, *waves], timeout=SETTLED_WITHIN_S)
         for wave in waves:
             wave.result()
-        await self._cluster.until(
-            lambda: not any(w.running for w in self._cluster.workers.values())
+        await self._cluster.wait_until(
+            lambda: (
+                not any(w.running_attempt_ids for w in self._cluster.workers.values())
+            )
         )
 
     def check(self) -> None:
@@ -96,7 +98,7 @@
             if outcome is not None:
                 self._check_told(submission, outcome, runs[work_id])
         for worker in self._cluster.workers.values():
-            assert not worker.overfilled
+            assert not worker.has_exceeded_capacity
 
     def _check_runs(self, submission: Submission, runs: list[Observation]) -> None:
         if not submission.idempotent:
@@ -178,25 +180,27 @@
 
     def _switch(self, fault: Fault, is_on: bool) -> None:
         cluster = self._cluster
-        links = cluster.links[fault.host]
+        links = cluster.network_faults[fault.host]
         if fault.kind == "cut store":
-            links.store_cut = is_on
+            links.is_store_unreachable = is_on
         elif fault.kind == "cut peers" and is_on:
-            cluster.cut_off(fault.host)
+            cluster.isolate(fault.host)
         elif fault.kind == "cut peers":
-            for other in cluster.links.values():
-                other.cut_peers.clear()
+            for other in cluster.network_faults.values():
+                other.unreachable_peers.clear()
         elif fault.kind == "store down":
-            cluster.faults.table_down = is_on
+            cluster.platform_faults.table_down = is_on
         elif fault.kind == "lose store answers" and is_on:
-            cluster.faults.lost_answers += 5
+            cluster.platform_faults.lost_answers += 5
         elif fault.kind == "lose store calls" and is_on:
-            cluster.faults.lost_calls += 5
+            cluster.platform_faults.lost_calls += 5
         elif fault.kind == "worker leaves":
             cluster.workers[fault.worker].faults.leaving = is_on
         elif fault.kind in ("cut worker", "lose worker answers"):
             is_cut = fault.kind == "cut worker"
-            names = links.cut_workers if is_cut else links.lost_worker_answers
+            names = (
+                links.unreachable_workers if is_cut else links.workers_losing_replies
+            )
             (names.add if is_on else names.discard)(fault.worker)
 
 
@@ -212,7 +216,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(FAULTS)
 def test_callers_are_told_what_the_workers_saw(faults: list[Fault]) -> None:
-    run_virtually(play(faults))
+    run_with_virtual_clock(play(faults))
 
 
 FOUND = {
@@ -233,7 +237,7 @@
 
 @pytest.mark.parametrize("name", list(FOUND))
 def test_faults_that_once_misled_a_caller(name: str) -> None:
-    run_virtually(play(FOUND[name]))
+    run_with_virtual_clock(play(FOUND[name]))
 
 
 @pytest.mark.parametrize("fencing", [True, False])
@@ -243,15 +247,15 @@
         for host in HOSTS[:2]
         for kind in ("cut store", "cut peers")
     ]
-    run_virtually(play(faults, fencing))
+    run_with_virtual_clock(play(faults, fencing))
 
 
 def test_gang_is_not_split_by_a_kill() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             payload = b'{"run_s": 20, "answer": "together"}'
             gang = evolve(
                 make_submission(1, WorkKind.GANG, tasks=6),
@@ -263,8 +267,8 @@
             await asyncio.sleep(40.0)
             view = (await entry.router.show(work_id, 30.0)).unwrap()
             assert {task.state for task in view.tasks} == {TaskState.SUCCEEDED}
-            runs = cluster.runs_of(work_id + "/")
+            runs = cluster.list_runs(work_id + "/")
             assert len(runs) == 6
             assert len({run.started_s for run in runs}) <= 3
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/test_config_session.py
+++ b/tests/test_config_session.py
@@ -10,7 +10,7 @@
 from fuchsiadale.config.located import SourceFile
 from fuchsiadale.decision.errors import ErrorKind
 from tests.cluster import CONFIG, TestCluster
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 IN_FORCE_S = 18.0
 WITHDRAWN_S = 10.0
@@ -21,39 +21,39 @@
         async with TestCluster(nodes=3) as cluster:
             nodes = cluster.nodes
             key = (await nodes["entry-0"].config.create_key("guild")).unwrap()
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(
                     node.config.document.team_of_key(key.text) == "guild"
                     for node in nodes.values()
                 ),
                 IN_FORCE_S,
             )
-            cluster.links["entry-1"].store_cut = True
-            cluster.links["entry-2"].store_cut = True
-            cluster.cut_off("entry-2")
+            cluster.network_faults["entry-1"].is_store_unreachable = True
+            cluster.network_faults["entry-2"].is_store_unreachable = True
+            cluster.isolate("entry-2")
             (await nodes["entry-0"].config.withdraw_key(key.key_id)).unwrap()
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: nodes["entry-1"].config.document.team_of_key(key.text) is None,
                 WITHDRAWN_S,
             )
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: not nodes["entry-2"].config.freshness.is_fresh(),
                 WITHDRAWN_S + 1.0,
             )
             assert nodes["entry-1"].config.freshness.is_fresh()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_store_outage_for_all_leaves_the_configuration_in_force() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            cluster.faults.table_down = True
+            cluster.platform_faults.table_down = True
             await asyncio.sleep(60.0)
             for node in cluster.nodes.values():
                 assert node.config.freshness.is_fresh()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_one_of_two_racing_operators_wins_and_the_other_learns_which() -> None:
@@ -72,7 +72,7 @@
             assert [refusal.kind for refusal in losers] == [ErrorKind.VERSION_CONFLICT]
             assert f"version {base + 1}" in losers[0].message
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_change_whose_answer_was_lost_is_told_as_done() -> None:
@@ -82,7 +82,7 @@
             base = node.config.document.version
             changed = None
             for _ in range(20):
-                cluster.faults.lost_answers = 1
+                cluster.platform_faults.lost_answers = 1
                 outcome = await node.config.change_folder(
                     [SourceFile("all.yaml", CONFIG)], None
                 )
@@ -90,7 +90,7 @@
             assert changed is not None
             assert changed.version == base + 20
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_older_document_from_a_stale_peer_is_not_applied() -> None:
@@ -107,7 +107,7 @@
             assert config.document.version == older.version + 2
             assert config.document.keys == {}
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_configuration_never_reverts_over_restarts_and_outages() -> None:
@@ -128,16 +128,16 @@
                     [SourceFile("all.yaml", CONFIG)], None
                 )
                 outcome.unwrap()
-                cluster.links["entry-1"].store_cut = number % 2 == 0
+                cluster.network_faults["entry-1"].is_store_unreachable = number % 2 == 0
                 if number == 3:
                     await cluster.kill("entry-1")
                     cluster.start_node("entry-1")
                 for _ in range(20):
                     await asyncio.sleep(0.25)
                     check()
-            cluster.links["entry-1"].store_cut = False
+            cluster.network_faults["entry-1"].is_store_unreachable = False
             await asyncio.sleep(IN_FORCE_S)
             versions = {n.config.document.version for n in cluster.nodes.values()}
             assert len(versions) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,25 +14,25 @@
 from tests.builders import SMALL_TASK_RESOURCES, make_submission, make_worker_info
 from tests.cluster import TestCluster
 from tests.test_takeover import make_sleep_submission
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_start_whose_answer_was_lost_runs_once() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
-            links = cluster.links["entry-0"]
+            links = cluster.network_faults["entry-0"]
             waiting = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 5.0, False))
             )
-            links.lost_worker_answers.update(cluster.workers)
+            links.workers_losing_replies.update(cluster.workers)
             await asyncio.sleep(0.1)
-            links.lost_worker_answers.clear()
+            links.workers_losing_replies.clear()
             view = (await waiting).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            assert len(cluster.runs_of(view.work_id + "/")) == 1
+            assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_truncated_answer_is_asked_for_again() -> None:
@@ -45,17 +45,17 @@
                 await entry.router.run_request(make_sleep_submission(1, 0.1, False))
             ).unwrap()
             assert view.tasks[0].answer == b"answer 1"
-            assert len(cluster.runs_of(view.work_id + "/")) == 1
+            assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_answer_too_large_to_record_survives_the_owner() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            router = cluster.nodes[cluster.other(owner)].router
+            router = cluster.nodes[cluster.find_other_host(owner)].router
             payload = json.dumps({"run_s": 3.0, "answer": "x" * 100_000}).encode()
             request = evolve(
                 make_submission(1, idempotent=False, key="large"),
@@ -66,18 +66,18 @@
             await cluster.kill(owner)
             view = (await waiting).unwrap()
             assert len(view.tasks[0].answer) == 100_000
-            await cluster.until(lambda: cluster.owner() is not None)
+            await cluster.wait_until(lambda: cluster.find_owner() is not None)
             await asyncio.sleep(1.0)
-            await cluster.kill(cluster.owner() or "")
+            await cluster.kill(cluster.find_owner() or "")
             node = cluster.start_node("entry-9")
-            await cluster.until(lambda: cluster.owner() == "entry-9")
+            await cluster.wait_until(lambda: cluster.find_owner() == "entry-9")
             repeat = evolve(request, work_id="general.0.repeat")
             again = (await node.router.run_request(repeat)).unwrap()
             assert again.tasks[0].state is TaskState.SUCCEEDED
             assert again.tasks[0].is_omitted
-            assert len(cluster.runs_of(request.work_id + "/")) == 1
+            assert len(cluster.list_runs(request.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_many_callers_each_get_their_own_answer() -> None:
@@ -98,7 +98,7 @@
                 view = (await each).unwrap()
                 assert view.tasks[0].answer == f"answer {number}".encode()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_deadline_before_any_start_is_told_as_not_run() -> None:
@@ -121,9 +121,9 @@
                 is ExecutionOutcome.NOT_RUN
             )
             await asyncio.gather(*blocking)
-            assert cluster.runs_of(late.work_id + "/") == []
+            assert cluster.list_runs(late.work_id + "/") == []
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_deadline_after_the_start_is_told_as_unknown() -> None:
@@ -134,14 +134,14 @@
             refusal = (await entry.router.run_request(late)).unwrap_err()
             assert refusal.kind is ErrorKind.OUTCOME_UNKNOWN
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 @pytest.mark.parametrize("kills_owner", [False, True])
 def test_one_key_sent_to_every_entry_runs_once(kills_owner: bool) -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             hosts = [host for host in cluster.nodes if host != owner] * 3
             waiting = []
@@ -160,9 +160,9 @@
                 await cluster.kill(owner)
             answers = [(await each).unwrap().tasks[0].answer for each in waiting]
             assert answers == [b"answer 7"] * len(hosts)
-            assert len(cluster.runs_of("general.0.same")) == 1
+            assert len(cluster.list_runs("general.0.same")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_repeat_of_an_ended_request_is_answered_at_once() -> None:
@@ -179,7 +179,7 @@
                 assert view.tasks[0].answer == b"answer 7"
                 assert cluster.clock.now() - began_s < 3.2
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_one_key_for_other_work_is_refused() -> None:
@@ -192,14 +192,14 @@
             refusal = (await router.run_request(other)).unwrap_err()
             assert refusal.kind is ErrorKind.KEY_REUSED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_leaving_worker_gets_nothing_new_though_the_list_lags() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
-            cluster.faults.hosts_frozen = True
+            cluster.platform_faults.hosts_frozen = True
             leaving = cluster.workers["worker-1"]
             leaving.faults.leaving = True
             await asyncio.sleep(3.0)
@@ -221,25 +221,25 @@
             await asyncio.gather(*again)
             assert any(seen.worker == "worker-1" for seen in cluster.observations)
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_that_left_the_list_comes_back_at_another_address() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
-            info = cluster.state.workers["worker-0"]
-            cluster.state.remove_worker("worker-0")
+            info = cluster.platform_state.workers["worker-0"]
+            cluster.platform_state.remove_worker("worker-0")
             await asyncio.sleep(30.0)
             cluster.workers["elsewhere"] = cluster.workers["worker-0"]
-            cluster.state.put_worker(evolve(info, address="elsewhere"))
+            cluster.platform_state.put_worker(evolve(info, address="elsewhere"))
             await asyncio.sleep(5.0)
             view = (
                 await entry.router.run_request(make_sleep_submission(1, 0.1, True))
             ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_job_moves_away_from_a_worker_that_the_list_calls_leaving() -> None:
@@ -252,14 +252,16 @@
             )
             (await entry.router.submit_job(service)).unwrap()
             await asyncio.sleep(1.0)
-            assert cluster.workers["worker-1"].running
-            info = cluster.state.workers["worker-1"]
-            cluster.state.put_worker(evolve(info, leaving=True))
+            assert cluster.workers["worker-1"].running_attempt_ids
+            info = cluster.platform_state.workers["worker-1"]
+            cluster.platform_state.put_worker(evolve(info, leaving=True))
             await asyncio.sleep(5.0)
-            assert not cluster.workers["worker-1"].running
-            assert sum(len(w.running) for w in cluster.workers.values()) == 3
+            assert not cluster.workers["worker-1"].running_attempt_ids
+            assert (
+                sum(len(w.running_attempt_ids) for w in cluster.workers.values()) == 3
+            )
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_that_fails_everything_is_quarantined() -> None:
@@ -276,7 +278,7 @@
             assert ledger.workers["worker-0"].state is WorkerState.QUARANTINED
             assert len(cluster.workers["worker-0"].observations) <= 6
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_poison_work_is_stopped_and_told_and_no_worker_is_blamed() -> None:
@@ -293,7 +295,7 @@
             states = {worker.state for worker in ledger.workers.values()}
             assert states == {WorkerState.READY}
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_whose_tasks_take_more_than_declared_gets_no_more() -> None:
@@ -306,7 +308,7 @@
             )
             (await entry.router.submit_job(hog)).unwrap()
             await asyncio.sleep(3.0)
-            (full,) = [w for w in cluster.workers.values() if w.running]
+            (full,) = [w for w in cluster.workers.values() if w.running_attempt_ids]
             waiting = [
                 asyncio.ensure_future(
                     entry.router.run_request(
@@ -316,8 +318,10 @@
                 for number in range(24)
             ]
             await asyncio.sleep(0.5)
-            assert len(full.running) == 1
-            assert sum(len(w.running) for w in cluster.workers.values()) == 17
+            assert len(full.running_attempt_ids) == 1
+            assert (
+                sum(len(w.running_attempt_ids) for w in cluster.workers.values()) == 17
+            )
             await asyncio.gather(*waiting)
             await asyncio.sleep(20.0)
             again = [
@@ -330,7 +334,7 @@
                 for seen in cluster.observations
             )
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_work_that_can_never_run_is_refused_at_the_door() -> None:
@@ -346,7 +350,7 @@
             refusal = (await router.submit_job(gang)).unwrap_err()
             assert refusal.kind is ErrorKind.INFEASIBLE
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_wave_of_cancellations_leaves_nothing_running() -> None:
@@ -369,16 +373,18 @@
                 *(entry.router.cancel_job(work_id, reason) for work_id in ids)
             )
             await asyncio.sleep(3.0)
-            assert not any(w.running for w in cluster.workers.values())
+            assert not any(w.running_attempt_ids for w in cluster.workers.values())
             view = (
                 await entry.router.run_request(make_sleep_submission(99, 0.1, True))
             ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            ledger = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
+            ledger = cluster.nodes[cluster.find_owner() or ""].ownership.drivers[
+                "general.0"
+            ]
             for worker in ledger.partition.ledger.workers.values():
                 assert worker.unallocated == worker.info.capacity
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_rebooted_worker_ends_its_tasks_and_unknown_is_told() -> None:
@@ -398,4 +404,4 @@
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
             assert (await again).unwrap().tasks[0].state is TaskState.SUCCEEDED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,7 +24,7 @@
 from fuchsiadale.decision.work import Program, WorkKind
 from tests.builders import SMALL_TASK_RESOURCES, make_submission, make_worker_info
 from tests.cluster import TestCluster
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 PARTITIONS = ("p.0", "p.1", "p.2")
 
@@ -169,8 +169,8 @@
         workers = [make_worker_info(index) for index in range(9)]
         async with TestCluster(3, workers, LIMITED % 10) as cluster:
             entry = next(iter(cluster.nodes.values()))
-            await cluster.until(
-                lambda: all(cluster.owner(f"general.{i}") for i in range(3))
+            await cluster.wait_until(
+                lambda: all(cluster.find_owner(f"general.{i}") for i in range(3))
             )
             for number in range(6):
                 submission = make_submission(
@@ -189,14 +189,16 @@
             assert peak == 10
             files = [SourceFile("all.yaml", LIMITED % 4)]
             (await entry.config.change_folder(files, None)).unwrap()
-            await cluster.until(lambda: count_running_tasks(cluster) <= 4, limit_s=18.0)
+            await cluster.wait_until(
+                lambda: count_running_tasks(cluster) <= 4, limit_s=18.0
+            )
             for _ in range(100):
                 await asyncio.sleep(0.1)
                 assert count_running_tasks(cluster) <= 4
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def count_running_tasks(cluster: TestCluster) -> int:
     """Return the number of tasks that the workers are running."""
-    return sum(len(worker.running) for worker in cluster.workers.values())
+    return sum(len(worker.running_attempt_ids) for worker in cluster.workers.values())
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -28,7 +28,7 @@
     StartRequest,
     WorkerAddress,
 )
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 SOURCES = Path(__file__).parent.parent / "src" / "fuchsiadale"
 WORKER = WorkerAddress("i-1", "10.0.0.9:80")
@@ -188,7 +188,7 @@
         assert answer.outcome is outcome
         assert client.sent_calls[0][3] == {"X-Fuchsiadale-Expect-Instance": "i-1"}
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_poll_reply_is_decoded_without_invalid_rows():
@@ -221,7 +221,7 @@
             workers = PlatformWorkerClient(FakeHttpClient(reply))  # type: ignore[arg-type]
             assert await workers.poll(WORKER, request, 2.0) == Err(failure)
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
         )
         assert result == outcome
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_missing_setting_is_named_in_error(tmp_path: Path):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tools.processes import HttpReply, ProcessCluster, call
+from tools.processes import HttpReply, ProcessCluster, call_http
 
 CONFIG = """\
 teams: {guild: {}}
@@ -28,7 +28,7 @@
     cluster = ProcessCluster(tmp_path)
     try:
         cluster.start()
-        cluster.admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
+        cluster.call_admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
         cluster.wait_for_owner("general.0")
         cluster.wait_for_owner("imaging.0")
         cluster.wait_until_ready()
@@ -41,8 +41,8 @@
     """Callers that keep sending requests, each to the entries in turn."""
 
     def __init__(self, cluster: ProcessCluster, idempotent: bool) -> None:
-        reply = cluster.admin("POST", "/keys", {"team": "guild"})
-        cluster.wait_for_same_version()
+        reply = cluster.call_admin("POST", "/keys", {"team": "guild"})
+        cluster.wait_for_common_configuration()
         self.replies: list[tuple[str, HttpReply]] = []
         self._headers = {"Authorization": f"Bearer {reply.body['key']}"}
         self._cluster = cluster
@@ -75,15 +75,15 @@
             entries = self._cluster.entries
             url = self._cluster.url(entries[(number + count) % len(entries)])
             # The platform's balancer sends nobody to an entry that is not ready.
-            if call("GET", f"{url}/readyz", timeout_s=5.0).status != 200:
+            if call_http("GET", f"{url}/readyz", timeout_s=5.0).status != 200:
                 continue
             path = "/v1/queues/proofs/requests"
-            reply = call("POST", url + path, body, self._headers)
+            reply = call_http("POST", url + path, body, self._headers)
             self.replies.append((payload, reply))
 
     def check(self, cluster: ProcessCluster) -> Counter[str]:
         """Compare what callers were told with what the workers saw."""
-        seen = cluster.observations("general")
+        seen = cluster.fetch_observations("general")
         assert seen["overfilled"] == []
         runs = Counter(
             observation["attempt_id"].rpartition("/")[0]
@@ -105,7 +105,7 @@
 
 
 def test_paused_owner_doubles_nothing_when_it_wakes(cluster: ProcessCluster) -> None:
-    owner = cluster.owner_of("general.0") or ""
+    owner = cluster.find_owner("general.0") or ""
     with Callers(cluster, idempotent=False) as callers:
         time.sleep(1.0)
         cluster.send_signal(owner, SIGSTOP)
@@ -120,7 +120,7 @@
 def test_silent_connections_are_replaced(cluster: ProcessCluster) -> None:
     with Callers(cluster, idempotent=False) as callers:
         time.sleep(1.0)
-        call("POST", f"{cluster.workers_url('general')}/silence")
+        call_http("POST", f"{cluster.workers_url('general')}/silence")
         time.sleep(6.0)
         count = len(callers.replies)
         time.sleep(2.0)
@@ -133,7 +133,7 @@
     with Callers(cluster, idempotent=False) as callers:
         for entry in list(cluster.entries):
             time.sleep(1.0)
-            assert cluster.end(entry, SIGTERM) == 0
+            assert cluster.stop_process(entry, SIGTERM) == 0
             cluster.start_entry(entry)
             cluster.wait_until_ready()
     told = callers.check(cluster)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -23,7 +23,7 @@
 from tests.builders import PARTITION, PartitionHarness, make_submission
 from tests.cluster import TestCluster
 from tests.test_takeover import make_sleep_submission
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 ENDS = [
     AttemptEnd.SUCCEEDED,
@@ -96,9 +96,9 @@
 def test_new_owner_finishes_a_cancellation_and_reports_why_work_failed() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            router = cluster.nodes[cluster.other(owner)].router
+            router = cluster.nodes[cluster.find_other_host(owner)].router
             poison = evolve(make_submission(1, WorkKind.BATCH), program=Program("fail"))
             failed = (await router.submit_job(poison)).unwrap()
             (await router.show(failed, 30.0)).unwrap()
@@ -108,29 +108,31 @@
             )
             cancelled = (await router.submit_job(service)).unwrap()
             await asyncio.sleep(1.0)
-            cluster.links[owner].cut_workers.update(cluster.workers)
+            cluster.network_faults[owner].unreachable_workers.update(cluster.workers)
             reason = Refusal(ErrorKind.CANCELLED, "cancelled")
             (await router.cancel_job(cancelled, reason)).unwrap()
             await asyncio.sleep(0.2)
             await cluster.kill(owner)
-            await cluster.until(lambda: cluster.owner() is not None)
+            await cluster.wait_until(lambda: cluster.find_owner() is not None)
             await asyncio.sleep(5.0)
-            assert not any(worker.running for worker in cluster.workers.values())
+            assert not any(
+                worker.running_attempt_ids for worker in cluster.workers.values()
+            )
             view = (await router.show(cancelled, 0.0)).unwrap()
             assert {task.state for task in view.tasks} == {TaskState.CANCELLED}
             view = (await router.show(failed, 0.0)).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.POISON
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_delivered_requests_are_discarded_early_unless_they_have_a_key() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             for number in range(20):
                 key = "kept" if number == 7 else ""
                 request = evolve(make_sleep_submission(number, 0.1, False), key=key)
@@ -145,53 +147,53 @@
             await asyncio.sleep(600.0)
             assert list(work_registry.works) == []
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_new_owner_recovers_from_snapshot_and_truncated_journal() -> None:
     async def session() -> None:
         with patch.object(hosted_partition, "SNAPSHOT_ROWS", 10):
             async with TestCluster(nodes=2) as cluster:
-                owner = cluster.owner()
+                owner = cluster.find_owner()
                 assert owner is not None
                 member = cluster.nodes[owner].member
-                entry = cluster.nodes[cluster.other(owner)]
+                entry = cluster.nodes[cluster.find_other_host(owner)]
                 first = evolve(make_sleep_submission(0, 0.1, False), key="first")
                 (await entry.router.run_request(first)).unwrap()
                 for number in range(1, 40):
                     request = make_sleep_submission(number, 0.1, False)
                     (await entry.router.run_request(request)).unwrap()
                 await asyncio.sleep(60.0)
-                rows = cluster.state.scan(journal_prefix(member), "")
+                rows = cluster.platform_state.scan(journal_prefix(member), "")
                 assert len(rows) < 20
                 await cluster.kill(owner)
-                await cluster.until(lambda: cluster.owner() is not None)
+                await cluster.wait_until(lambda: cluster.find_owner() is not None)
                 repeated = evolve(
                     make_sleep_submission(0, 0.1, False), work_id="general.0.again"
                 )
                 view = await entry.router.run_request(evolve(repeated, key="first"))
                 assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
-                assert len(cluster.runs_of("general.0.again")) == 0
+                assert len(cluster.list_runs("general.0.again")) == 0
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_journal_of_a_dead_member_is_removed_once_no_partition_needs_it() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             member = cluster.nodes[owner].member
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             (
                 await entry.router.run_request(make_sleep_submission(1, 0.1, False))
             ).unwrap()
             await cluster.kill(owner)
             await asyncio.sleep(60.0)
-            assert cluster.state.scan(journal_prefix(member), "")
+            assert cluster.platform_state.scan(journal_prefix(member), "")
             with patch.object(hosted_partition, "MAX_SEGMENTS", 1):
                 await asyncio.sleep(60.0)
-            assert cluster.state.scan(journal_prefix(member), "") == []
-            assert journal_marker_key(member) not in cluster.state.rows
+            assert cluster.platform_state.scan(journal_prefix(member), "") == []
+            assert journal_marker_key(member) not in cluster.platform_state.rows
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -12,7 +12,7 @@
 from fuchsiadale.decision.work import Program, Submission, TaskState, WorkKind
 from tests.builders import make_submission
 from tests.cluster import TestCluster
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def make_sleep_submission(
@@ -31,9 +31,9 @@
 ) -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             requests = [
                 asyncio.ensure_future(
                     entry.router.run_request(
@@ -48,16 +48,18 @@
             for number, view in enumerate(views):
                 assert view.tasks[0].state is TaskState.SUCCEEDED
                 assert view.tasks[0].answer == f"answer {number}".encode()
-                assert len(cluster.runs_of(view.work_id + "/")) == 1
-            assert not any(worker.overfilled for worker in cluster.workers.values())
+                assert len(cluster.list_runs(view.work_id + "/")) == 1
+            assert not any(
+                worker.has_exceeded_capacity for worker in cluster.workers.values()
+            )
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_drained_owner_finishes_its_requests() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             node = cluster.nodes[owner]
             requests = [
@@ -73,17 +75,17 @@
             for request in requests:
                 view = (await request).unwrap()
                 assert view.tasks[0].state is TaskState.SUCCEEDED
-                assert len(cluster.runs_of(view.work_id + "/")) == 1
+                assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_drain_does_not_wait_for_a_dead_peer_to_collect_results() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            caller = cluster.other(owner)
+            caller = cluster.find_other_host(owner)
             pending_request = asyncio.ensure_future(
                 cluster.nodes[caller].router.run_request(
                     make_sleep_submission(1, 2.0, True)
@@ -96,42 +98,44 @@
                 await cluster.nodes[owner].drain()
             pending_request.cancel()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_task_on_unreachable_worker_is_rerun_only_after_it_ended() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 30.0, True))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [w for w in cluster.workers.values() if w.running]
-            cluster.links[cluster.other(owner)].cut_workers.add(
-                running_worker.info.name
-            )
+            (running_worker,) = [
+                w for w in cluster.workers.values() if w.running_attempt_ids
+            ]
+            cluster.network_faults[
+                cluster.find_other_host(owner)
+            ].unreachable_workers.add(running_worker.info.name)
             await cluster.kill(owner)
             view = (await pending_request).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            runs = cluster.runs_of(view.work_id + "/")
+            runs = cluster.list_runs(view.work_id + "/")
             assert len(runs) == 2
             first, second = sorted(runs, key=lambda run: run.started_s)
             assert first.ended_s is not None
             assert first.ended_s < second.started_s
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_only_idempotent_requests_run_during_a_store_outage() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
-            cluster.faults.table_down = True
+            entry = cluster.nodes[cluster.find_other_host(owner)]
+            cluster.platform_faults.table_down = True
             await asyncio.sleep(60.0)
             view = await entry.router.run_request(make_sleep_submission(1, 0.1, True))
             assert view.unwrap().tasks[0].state is TaskState.SUCCEEDED
@@ -143,24 +147,24 @@
                 make_sleep_submission(3, 0.1, True, WorkKind.BATCH)
             )
             assert job.unwrap_err().kind is ErrorKind.STORE_UNAVAILABLE
-            assert cluster.runs_of("general.0.2/") == []
-            cluster.faults.table_down = False
+            assert cluster.list_runs("general.0.2/") == []
+            cluster.platform_faults.table_down = False
             await asyncio.sleep(2.0)
             accepted_job = await entry.router.submit_job(
                 make_sleep_submission(4, 0.1, True, WorkKind.BATCH)
             )
             assert accepted_job.is_ok()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_isolated_owner_never_acts_at_the_same_time_as_the_new_owner() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            cluster.links[owner].store_cut = True
-            cluster.cut_off(owner)
+            cluster.network_faults[owner].is_store_unreachable = True
+            cluster.isolate(owner)
             former_owner = cluster.nodes[owner].ownership.drivers["general.0"]
             for _ in range(600):
                 await asyncio.sleep(0.05)
@@ -171,103 +175,113 @@
                     and driver.partition.authority.may_act()
                 ]
                 assert len(acting) <= 1
-            assert cluster.owner() not in (owner, None)
+            assert cluster.find_owner() not in (owner, None)
             assert not former_owner.partition.authority.may_act()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_outcome_of_non_idempotent_request_on_unreachable_worker_is_unknown() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            other = cluster.other(owner)
+            other = cluster.find_other_host(owner)
             entry = cluster.nodes[other]
             pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 40.0, False))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [w for w in cluster.workers.values() if w.running]
-            cluster.links[other].cut_workers.add(running_worker.info.name)
+            (running_worker,) = [
+                w for w in cluster.workers.values() if w.running_attempt_ids
+            ]
+            cluster.network_faults[other].unreachable_workers.add(
+                running_worker.info.name
+            )
             await cluster.kill(owner)
             view = (await pending_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
-            assert len(cluster.runs_of(view.work_id + "/")) == 1
+            assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_outcome_is_unknown_if_the_worker_rebooted_before_its_adoption() -> None:
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             request = make_sleep_submission(1, 40.0, False)
             pending_request = asyncio.ensure_future(entry.router.run_request(request))
             await asyncio.sleep(0.2)
-            (running_worker,) = [w for w in cluster.workers.values() if w.running]
+            (running_worker,) = [
+                w for w in cluster.workers.values() if w.running_attempt_ids
+            ]
             await cluster.kill(owner)
             running_worker.reboot()
             view = (await pending_request).unwrap()
             assert view.refusal is not None
             assert view.refusal.kind is ErrorKind.OUTCOME_UNKNOWN
-            assert cluster.runs_of(request.work_id + "/") == []
+            assert cluster.list_runs(request.work_id + "/") == []
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_isolated_former_owner_starts_nothing_on_adopted_workers() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             former_owner = cluster.nodes[owner]
-            cluster.links[owner].store_cut = True
-            cluster.cut_off(owner)
-            await cluster.until(lambda: cluster.owner() not in (owner, None))
+            cluster.network_faults[owner].is_store_unreachable = True
+            cluster.isolate(owner)
+            await cluster.wait_until(lambda: cluster.find_owner() not in (owner, None))
             request = make_sleep_submission(1, 0.1, True)
             driver = former_owner.ownership.drivers.get("general.0")
             if driver is not None:
                 await driver.submit(request, former_owner.member)
             await asyncio.sleep(20.0)
-            assert cluster.runs_of(request.work_id + "/") == []
+            assert cluster.list_runs(request.work_id + "/") == []
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_task_the_new_owner_cannot_reach_never_runs_on_two_workers() -> None:
     # The isolated former owner has to stop renewing the task.
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 50.0, True))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [w for w in cluster.workers.values() if w.running]
-            cluster.links[owner].store_cut = True
-            cluster.cut_off(owner)
+            (running_worker,) = [
+                w for w in cluster.workers.values() if w.running_attempt_ids
+            ]
+            cluster.network_faults[owner].is_store_unreachable = True
+            cluster.isolate(owner)
             for host in cluster.nodes:
                 if host != owner:
-                    cluster.links[host].cut_workers.add(running_worker.info.name)
+                    cluster.network_faults[host].unreachable_workers.add(
+                        running_worker.info.name
+                    )
             for _ in range(1200):
                 await asyncio.sleep(0.05)
-                running = [w for w in cluster.workers.values() if w.running]
+                running = [w for w in cluster.workers.values() if w.running_attempt_ids]
                 assert len(running) <= 1
             pending_request.cancel()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_pending_task_is_not_started_by_two_owners() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             former_owner = cluster.nodes[owner]
             blocking_requests = [
@@ -281,13 +295,15 @@
             await asyncio.sleep(0.2)
             job = evolve(make_sleep_submission(99, 5.0, True, WorkKind.BATCH), tasks=6)
             work_id = (await former_owner.router.submit_job(job)).unwrap()
-            cluster.links[owner].store_cut = True
-            cluster.cut_off(owner)
+            cluster.network_faults[owner].is_store_unreachable = True
+            cluster.isolate(owner)
             await asyncio.sleep(40.0)
-            runs = cluster.runs_of(work_id + "/")
+            runs = cluster.list_runs(work_id + "/")
             assert len(runs) == 6
-            assert not any(worker.overfilled for worker in cluster.workers.values())
+            assert not any(
+                worker.has_exceeded_capacity for worker in cluster.workers.values()
+            )
             for request in blocking_requests:
                 request.cancel()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -10,7 +10,7 @@
 T = TypeVar("T")
 
 
-class _SkippingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Advances the clock by the time that the loop would have waited."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
     """Runs timers in order, at once."""
 
     def __init__(self) -> None:
-        self._skipping = _SkippingSelector()
+        self._skipping = _VirtualTimeSelector()
         super().__init__(self._skipping)
 
     def time(self) -> float:
@@ -38,7 +38,7 @@
         return self._skipping.now_s
 
 
-def run_virtually(main: Coroutine[Any, Any, T]) -> T:
+def run_with_virtual_clock(main: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine on a virtual clock and end whatever it leaves."""
     with asyncio.Runner(loop_factory=VirtualClockLoop) as runner:
         return runner.run(main)
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -16,11 +16,11 @@
 
 from attrs import frozen
 
-from fuchsiadale.standin.dev import free_port
+from fuchsiadale.standin.dev import find_free_port
 
 ADMIN_KEY = "test-operator"
-PATIENCE_S = 60.0
-POLL_S = 0.05
+WAIT_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
 COMMAND = str(Path(sys.executable).parent / "fuchsiadale")
 
 
@@ -32,7 +32,7 @@
     body: Any
 
 
-def call(
+def call_http(
     method: str,
     url: str,
     body: object = None,
@@ -59,11 +59,11 @@
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
     """Wait for a condition that is sure to come true."""
-    give_up = time.monotonic() + PATIENCE_S
+    give_up = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         if time.monotonic() > give_up:
             raise AssertionError(f"{what} did not come about")
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 class ProcessCluster:
@@ -83,9 +83,11 @@
         self._folder = folder
         self._worker_count = workers
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
-        self._platform_port = free_port()
-        self._worker_ports = {"general": free_port(), "imaging": free_port()}
-        self._ports = {f"entry-{i}": (free_port(), free_port()) for i in range(entries)}
+        self._platform_port = find_free_port()
+        self._worker_ports = {"general": find_free_port(), "imaging": find_free_port()}
+        self._ports = {
+            f"entry-{i}": (find_free_port(), find_free_port()) for i in range(entries)
+        }
 
     @property
     def entries(self) -> list[str]:
@@ -114,7 +116,7 @@
         """Start everything, and wait until the platform answers."""
         self._spawn("platform", "stand-in", "platform", "--port", self._platform_port)
         counts = f"{self.platform_url}/counts"
-        wait_until(lambda: call("GET", counts).status == 200, "the platform")
+        wait_until(lambda: call_http("GET", counts).status == 200, "the platform")
         for pool, port in self._worker_ports.items():
             options = ["--pool", pool, "--port", port, "--platform", self.platform_url]
             self._spawn(
@@ -126,7 +128,7 @@
                 self._worker_count,
             )
             url = f"{self.workers_url(pool)}/observations"
-            wait_until(lambda url=url: call("GET", url).status == 200, pool)
+            wait_until(lambda url=url: call_http("GET", url).status == 200, pool)
         for name in self._ports:
             self.start_entry(name)
 
@@ -147,39 +149,39 @@
         path.write_text("\n".join(lines) + "\n")
         self._spawn(name, "entry", path)
         url = f"{self.url(name)}/healthz"
-        wait_until(lambda: call("GET", url).status == 200, name)
+        wait_until(lambda: call_http("GET", url).status == 200, name)
 
     def send_signal(self, name: str, number: Signals) -> None:
         """Send a signal to one process."""
         self._processes[name].send_signal(number)
 
-    def end(self, name: str, number: Signals = SIGKILL) -> int:
+    def stop_process(self, name: str, number: Signals = SIGKILL) -> int:
         """End one process and return its exit code."""
         process = self._processes.pop(name)
         process.send_signal(number)
-        return process.wait(PATIENCE_S)
+        return process.wait(WAIT_TIMEOUT_S)
 
     def stop(self) -> None:
         """End whatever still runs."""
         for name in reversed(list(self._processes)):
             self.send_signal(name, SIGCONT)
-            self.end(name)
+            self.stop_process(name)
 
-    def admin(self, method: str, path: str, body: object = None) -> HttpReply:
+    def call_admin(self, method: str, path: str, body: object = None) -> HttpReply:
         """Call the operators' interface of the first entry that answers."""
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
         reply = HttpReply(0, None)
         for entry in self.entries:
-            reply = call(
+            reply = call_http(
                 method, f"{self.url(entry)}/admin/v1{path}", body, headers, 5.0
             )
             if reply.status:
                 break
         return reply
 
-    def owner_of(self, partition: str) -> str | None:
+    def find_owner(self, partition: str) -> str | None:
         """Return the entry that owns a partition and may act, if one does."""
-        reply = self.admin("GET", "/partitions")
+        reply = self.call_admin("GET", "/partitions")
         for row in reply.body["partitions"] if reply.status == 200 else []:
             if row["partition"] == partition and row.get("may_act"):
                 owner = str(row["owner"]).rpartition(".")[0]
@@ -188,28 +190,32 @@
 
     def wait_for_owner(self, partition: str) -> str:
         """Wait until an entry that runs owns a partition and may act."""
-        wait_until(lambda: self.owner_of(partition) is not None, f"{partition}'s owner")
-        return self.owner_of(partition) or ""
+        wait_until(
+            lambda: self.find_owner(partition) is not None, f"{partition}'s owner"
+        )
+        return self.find_owner(partition) or ""
 
     def wait_until_ready(self) -> None:
         """Wait until every entry is ready for callers."""
         for entry in self.entries:
             url = f"{self.url(entry)}/readyz"
-            wait_until(lambda url=url: call("GET", url).status == 200, entry)
+            wait_until(lambda url=url: call_http("GET", url).status == 200, entry)
 
-    def wait_for_same_version(self) -> None:
+    def wait_for_common_configuration(self) -> None:
         """Wait until every entry has the same configuration in force."""
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
 
         def versions() -> set[Any]:
             urls = [f"{self.url(entry)}/admin/v1/config" for entry in self.entries]
-            return {call("GET", url, None, headers).body["version"] for url in urls}
+            return {
+                call_http("GET", url, None, headers).body["version"] for url in urls
+            }
 
         wait_until(lambda: len(versions()) == 1, "one version everywhere")
 
-    def observations(self, pool: str) -> Any:
+    def fetch_observations(self, pool: str) -> Any:
         """Return what the workers of a pool saw."""
-        return call("GET", f"{self.workers_url(pool)}/observations").body
+        return call_http("GET", f"{self.workers_url(pool)}/observations").body
 
     def _spawn(self, name: str, *arguments: object) -> None:
         log = (self._folder / f"{name}.log").open("ab")
