--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of the decisions, the policies and the whole path."""
+"""Benchmarks of decision time, memory, request latency and scheduling policies."""
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""How long one decision takes, by number of workers and of teams."""
+"""Benchmark of the time per decision, by number of workers and of teams."""
 
 from __future__ import annotations
 
@@ -23,20 +23,41 @@
     WorkKind,
 )
 
-FLEETS = (27, 256, 1000, 4000)
+FLEET_SIZES = (27, 256, 1000, 4000)
+"""Numbers of workers to measure with."""
+
 TEAM_COUNTS = (6, 100, 690)
+"""Numbers of teams to measure with."""
+
 WARM_UP_DECISIONS = 500
-DECISIONS = 5000
+"""Number of decisions before the measured ones."""
+
+MEASURED_DECISIONS = 5000
+"""Number of decisions that a measurement covers."""
+
 MAX_LATENCY_NS = 10_000_000_000
+"""Highest latency that the histogram can record, in nanoseconds."""
+
 CAPACITY = Resources(32_000, 65_536, 2, 8, 64)
+"""Capacity of each worker."""
 
 
 @frozen
 class DecisionLatency:
-    """Time from a submission to the start order, in milliseconds.
-
-    Each decision accepts a request, places it and ends the oldest running one, on a
-    fleet that is kept nine tenths full.
+    """Time per decision at one number of workers and of teams.
+
+    Each decision ends the oldest running attempt, accepts a request and places it. The
+    number of running attempts is kept at nine tenths of all slots, or lower if no
+    further request fits.
+
+    Attributes
+    ----------
+    workers, teams : int
+        Number of workers and of teams.
+    p50_ms, p99_ms : float
+        Percentiles of the time per decision, in milliseconds.
+    per_second : float
+        Decisions made per second.
     """
 
     workers: int
@@ -47,7 +68,7 @@
 
 
 def make_partition(workers: int) -> Partition:
-    """Return a partition of adopted workers whose owner may act."""
+    """Return a partition with adopted workers, whose owner may act."""
     clock = ManualClock(100.0)
     infos = [
         WorkerInfo(f"w{index}", "pool", "", f"domain-{index % 12}", "rack", CAPACITY)
@@ -66,7 +87,7 @@
 
 
 def generate_submissions(teams: int) -> Iterator[Submission]:
-    """Yield requests of several sizes, the teams in turn."""
+    """Yield requests of various sizes without end, from all teams in turn."""
     number = 0
     while True:
         number += 1
@@ -87,51 +108,52 @@
 
 
 def measure_decisions(workers: int, teams: int) -> DecisionLatency:
-    """Measure decisions on a fleet of `workers` with `teams` active teams."""
+    """Measure the time per decision with `workers` workers and `teams` active teams."""
     partition = make_partition(workers)
-    source = generate_submissions(teams)
-    running: list[str] = []
-    target = workers * CAPACITY.slots * 9 // 10
-    while len(running) < target:
-        started = _decide(partition, next(source))
-        if not started:
+    submissions = generate_submissions(teams)
+    running_ids: list[str] = []
+    target_count = workers * CAPACITY.slots * 9 // 10
+    while len(running_ids) < target_count:
+        started_ids = _accept_and_start(partition, next(submissions))
+        if not started_ids:
             break
-        running.extend(started)
+        running_ids.extend(started_ids)
     histogram = HdrHistogram(1, MAX_LATENCY_NS, 3)
     gc.collect()
     gc.freeze()
-    began_ns = time.perf_counter_ns()
-    for count in range(WARM_UP_DECISIONS + DECISIONS):
-        if count == WARM_UP_DECISIONS:
-            began_ns = time.perf_counter_ns()
-        before_ns = time.perf_counter_ns()
-        partition.mark_ended(running[count], AttemptEnd.SUCCEEDED, b"answer")
-        running.extend(_decide(partition, next(source)))
-        if count >= WARM_UP_DECISIONS:
-            histogram.record_value(time.perf_counter_ns() - before_ns)
-    elapsed_s = (time.perf_counter_ns() - began_ns) / 1e9
+    started_ns = time.perf_counter_ns()
+    for index in range(WARM_UP_DECISIONS + MEASURED_DECISIONS):
+        if index == WARM_UP_DECISIONS:
+            started_ns = time.perf_counter_ns()
+        decision_started_ns = time.perf_counter_ns()
+        partition.mark_ended(running_ids[index], AttemptEnd.SUCCEEDED, b"answer")
+        running_ids.extend(_accept_and_start(partition, next(submissions)))
+        if index >= WARM_UP_DECISIONS:
+            histogram.record_value(time.perf_counter_ns() - decision_started_ns)
+    elapsed_s = (time.perf_counter_ns() - started_ns) / 1e9
     gc.unfreeze()
     return DecisionLatency(
         workers=workers,
         teams=teams,
         p50_ms=round(histogram.get_value_at_percentile(50) / 1e6, 4),
         p99_ms=round(histogram.get_value_at_percentile(99) / 1e6, 4),
-        per_second=round(DECISIONS / elapsed_s),
+        per_second=round(MEASURED_DECISIONS / elapsed_s),
     )
 
 
 def measure_all() -> Iterator[DecisionLatency]:
-    """Measure every size."""
-    for workers in FLEETS:
+    """Measure each number of workers with each number of teams."""
+    for workers in FLEET_SIZES:
         for teams in TEAM_COUNTS:
             yield measure_decisions(workers, teams)
 
 
-def _decide(partition: Partition, submission: Submission) -> list[str]:
+def _accept_and_start(partition: Partition, submission: Submission) -> list[str]:
+    """Accept a submission and return the ids of the attempts that are then started."""
     partition.accept(submission)
-    started: list[str] = []
+    started_ids: list[str] = []
     for attempt in partition.step().starts:
         partition.mark_sent(attempt, 1e12)
         partition.mark_started(attempt.attempt_id)
-        started.append(attempt.attempt_id)
-    return started
+        started_ids.append(attempt.attempt_id)
+    return started_ids
--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""Runs every benchmark and writes one JSON file."""
+"""Runs all benchmarks and writes their results to one JSON file."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 from bench.decisions import measure_all
 from bench.memory import measure_all as measure_memory
-from bench.paths import CALLERS, WORKER_COUNTS, PathBench
+from bench.paths import CLIENT_COUNTS, WORKER_COUNTS, PathBenchmark
 from bench.policies import list_experiments, run_experiment
 
-RESULT = Path(__file__).resolve().parent / "results" / "latest.json"
+RESULT_FILE = Path(__file__).resolve().parent / "results" / "latest.json"
 PARALLEL_RUNS = 4
+"""Number of policy simulations that run at the same time."""
 
 
 def main() -> None:
-    """Measure decisions, memory, the whole path and the policies, in that order."""
+    """Run the benchmarks of decisions, memory, the request path and the policies."""
     result: dict[str, Any] = {
         "machine": {
             "cores": os.cpu_count(),
@@ -30,34 +31,34 @@
             "python": platform.python_version(),
         }
     }
-    result["decisions"] = _shown("decision", list(measure_all()))
-    result["memory"] = _shown("memory", list(measure_memory()))
-    result["paths"] = _shown("path", _measure_paths())
+    result["decisions"] = _print_results("decision", list(measure_all()))
+    result["memory"] = _print_results("memory", list(measure_memory()))
+    result["paths"] = _print_results("path", _measure_paths())
     with ProcessPoolExecutor(PARALLEL_RUNS) as executor:
         policies = list(executor.map(run_experiment, list_experiments()))
-    result["policies"] = _shown("policy", policies)
-    RESULT.parent.mkdir(exist_ok=True)
-    RESULT.write_text(json.dumps(result, indent=1) + "\n", "utf-8")
-    print(f"written: bench/results/{RESULT.name}")
+    result["policies"] = _print_results("policy", policies)
+    RESULT_FILE.parent.mkdir(exist_ok=True)
+    RESULT_FILE.write_text(json.dumps(result, indent=1) + "\n", "utf-8")
+    print(f"results are in bench/results/{RESULT_FILE.name}")
 
 
 def _measure_paths() -> list[Any]:
     results: list[Any] = []
     for workers in WORKER_COUNTS:
-        with PathBench(workers) as bench:
-            results.append(bench.measure_idle())
-            for callers in CALLERS:
+        with PathBenchmark(workers) as benchmark:
+            results.append(benchmark.measure_idle())
+            for client_count in CLIENT_COUNTS:
                 for idempotent in (True, False):
-                    results.append(bench.measure_load(callers, idempotent))
+                    results.append(benchmark.measure_load(client_count, idempotent))
     return results
 
 
-def _shown(kind: str, results: list[Any]) -> Any:
-    """Print results one a line and return them as plain values."""
-    plain = cattrs.unstructure(results)
-    for each in plain:
-        print(kind, json.dumps(each), flush=True)
-    return plain
+def _print_results(kind: str, results: list[Any]) -> Any:
+    """Print one result per line as JSON; return the results as plain values."""
+    plain_results = cattrs.unstructure(results)
+    for result in plain_results:
+        print(kind, json.dumps(result), flush=True)
+    return plain_results
 
 
 if __name__ == "__main__":
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,4 +1,4 @@
-"""What the state of a partition takes in memory, by slope."""
+"""Benchmark of the memory that the state of a partition takes."""
 
 from __future__ import annotations
 
@@ -22,61 +22,81 @@
 from fuchsiadale.decision.work import AttemptEnd, WorkKind, make_work
 
 SMALL_COUNT = 200
+"""Number of objects in the smaller of the two states that are compared."""
+
 LARGE_COUNT = 2200
+"""Number of objects in the larger of the two states that are compared."""
+
 TEAMS = 690
+"""Number of teams in the configuration document."""
+
 KEYS_PER_TEAM = 2
+"""Number of keys of each team in the configuration document."""
 
 
 @frozen
 class MemorySlope:
-    """Bytes for each of something."""
+    """Memory that each object of one kind takes.
+
+    Attributes
+    ----------
+    what : str
+        Kind of the objects.
+    bytes_each : int
+        Bytes for each object.
+    """
 
     what: str
     bytes_each: int
 
 
 def measure_all() -> Iterator[MemorySlope]:
-    """Measure every slope."""
-    yield _slope("worker in the ledger", make_partition)
-    yield _slope("request that waits or runs", _requests)
-    yield _slope("request that ended and is kept", _ended_requests)
-    yield _slope("task of a batch of 100", _batch_tasks)
-    document = _document()
+    """Measure each kind of objects."""
+    yield _measure_slope("worker in the ledger", make_partition)
+    yield _measure_slope("request that waits or runs", _make_accepted_requests)
+    yield _measure_slope("request that ended and is kept", _make_ended_requests)
+    yield _measure_slope("task of a batch of 100", _make_batches)
+    document = _make_document()
     yield MemorySlope("configuration document of 690 teams", len(encode(document)))
 
 
-def _slope(what: str, make: Callable[[int], object]) -> MemorySlope:
-    """Return the difference between a large and a small amount, for each one."""
-    small = _bytes_of(make, SMALL_COUNT)
-    large = _bytes_of(make, LARGE_COUNT)
-    return MemorySlope(what, round((large - small) / (LARGE_COUNT - SMALL_COUNT)))
+def _measure_slope(what: str, make_state: Callable[[int], object]) -> MemorySlope:
+    """Measure a kind of objects by the difference of a large and a small state."""
+    small_bytes = _measure_bytes(make_state, SMALL_COUNT)
+    large_bytes = _measure_bytes(make_state, LARGE_COUNT)
+    return MemorySlope(
+        what, round((large_bytes - small_bytes) / (LARGE_COUNT - SMALL_COUNT))
+    )
 
 
-def _bytes_of(make: Callable[[int], object], count: int) -> int:
+def _measure_bytes(make_state: Callable[[int], object], count: int) -> int:
+    """Return the bytes allocated by a state with `count` objects while it exists."""
     gc.collect()
     tracemalloc.start()
-    held = make(count)
+    state = make_state(count)
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del state
     return size
 
 
-def _requests(count: int) -> object:
+def _make_accepted_requests(count: int) -> object:
+    """Return a partition with `count` requests that wait or are placed."""
     partition = make_partition(SMALL_COUNT)
-    source = generate_submissions(6)
+    submissions = generate_submissions(6)
     for _ in range(count):
-        partition.accept(next(source))
+        partition.accept(next(submissions))
     partition.step()
     return partition
 
 
-def _ended_requests(count: int) -> object:
+def _make_ended_requests(count: int) -> object:
+    """Return a partition that keeps `count` ended requests."""
     partition = make_partition(SMALL_COUNT)
-    source = generate_submissions(6)
+    submissions = generate_submissions(6)
     for _ in range(count):
-        partition.accept(next(source))
+        partition.accept(next(submissions))
         for attempt in partition.step().starts:
             partition.mark_sent(attempt, 1e12)
             partition.mark_started(attempt.attempt_id)
@@ -85,16 +105,17 @@
     return partition
 
 
-def _batch_tasks(count: int) -> object:
-
-    source = generate_submissions(6)
+def _make_batches(count: int) -> object:
+    """Return batches of 100 tasks with `count` tasks in total."""
+    submissions = generate_submissions(6)
     return [
-        make_work(evolve(next(source), kind=WorkKind.BATCH, tasks=100), 0.0)
+        make_work(evolve(next(submissions), kind=WorkKind.BATCH, tasks=100), 0.0)
         for _ in range(count // 100)
     ]
 
 
-def _document() -> ConfigDocument:
+def _make_document() -> ConfigDocument:
+    """Return a configuration document with `TEAMS` teams and their keys."""
     limit = Resources(64_000, 262_144, 8, 200, 1 << 50)
     teams = {f"team-{index}": TeamConfig(2.0, limit) for index in range(TEAMS)}
     pools = {f"pool-{index}": PoolConfig(slices=8) for index in range(3)}
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -1,4 +1,4 @@
-"""The whole path through three entry processes, and what control costs."""
+"""Benchmark of requests through three entry processes, and of their idle cost."""
 
 from __future__ import annotations
 
@@ -22,24 +22,33 @@
 queues: {proofs: {pool: general}}
 """
 WORKER_COUNTS = (20, 200)
-CALLERS = (8, 64)
-LOAD_S = 8.0
-IDLE_S = 10.0
+"""Numbers of workers in each pool to measure with."""
+
+CLIENT_COUNTS = (8, 64)
+"""Numbers of concurrent clients to measure with."""
+
+LOAD_DURATION_S = 8.0
+"""Duration of a measurement under load, in seconds."""
+
+IDLE_DURATION_S = 10.0
+"""Duration of a measurement without load, in seconds."""
+
 MAX_LATENCY_US = 60_000_000
+"""Highest latency that the histogram can record, in microseconds."""
 
 
 @frozen
 class ProcessCost:
-    """What one process spent, idle or loaded.
+    """Processor time and memory that one process used during a measurement.
 
     Attributes
     ----------
     name : str
-        The process.
+        Name of the process.
     cpu_fraction : float
-        Processor time as a part of one core.
+        Processor time as a fraction of one core's time.
     resident_mb : float
-        Resident memory in MiB.
+        Resident memory at the end of the measurement, in MiB.
     """
 
     name: str
@@ -49,26 +58,26 @@
 
 @frozen
 class PathResult:
-    """One measurement of the whole path.
+    """Result of one measurement.
 
     Attributes
     ----------
     workers : int
-        Workers in each of two pools.
+        Number of workers in each of two pools.
     callers : int
-        Callers that send one request after another; none when idle.
+        Number of clients that send one request after another; 0 without load.
     idempotent : bool
-        Whether the requests are idempotent, so that starts need no record.
+        Whether the requests are idempotent, so that their starts are not recorded.
     per_second : float
-        Requests answered in a second.
+        Requests answered per second.
     p50_ms, p99_ms : float
-        Latency of the requests.
+        Percentiles of the latency of the requests, in milliseconds.
     transactions_per_s, rows_read_per_s : float
-        Load on the table service.
+        Load on the table service, per second.
     bytes_per_s_per_worker : float
-        Bytes sent and received on loopback by all processes for each worker, idle.
+        Bytes sent over loopback by all processes, per second and worker.
     costs : list of ProcessCost
-        What each process spent.
+        Cost of each process.
     """
 
     workers: int
@@ -83,13 +92,13 @@
     costs: list[ProcessCost]
 
 
-class PathBench:
-    """A cluster of processes under load.
+class PathBenchmark:
+    """Measures a cluster of processes with and without load.
 
     Parameters
     ----------
     workers : int
-        Workers in each of two pools.
+        Number of workers in each of two pools.
     """
 
     def __init__(self, workers: int) -> None:
@@ -98,8 +107,8 @@
         self._cluster = ProcessCluster(Path(self._folder.name), workers=workers)
         self._key = ""
 
-    def __enter__(self) -> PathBench:
-        """Start the cluster and wait until the partitions have settled."""
+    def __enter__(self) -> PathBenchmark:
+        """Start and configure the cluster, and wait until its partitions are stable."""
         self._cluster.start()
         self._cluster.call_admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
         self._cluster.wait_for_owner("general.0")
@@ -118,76 +127,83 @@
         self._folder.cleanup()
 
     def measure_idle(self) -> PathResult:
-        """Measure what control costs while no work runs."""
-        return self._measure(0, True, lambda histogram: time.sleep(IDLE_S))
+        """Measure the cost of the control traffic while no work runs."""
+        return self._measure(0, True, lambda histogram: time.sleep(IDLE_DURATION_S))
 
-    def measure_load(self, callers: int, idempotent: bool) -> PathResult:
-        """Measure requests of callers that each wait for their answer."""
+    def measure_load(self, client_count: int, idempotent: bool) -> PathResult:
+        """Measure requests of clients that each wait for the reply to the last one."""
         return self._measure(
-            callers,
+            client_count,
             idempotent,
-            lambda histogram: asyncio.run(self._send(callers, idempotent, histogram)),
+            lambda histogram: asyncio.run(
+                self._send_load(client_count, idempotent, histogram)
+            ),
         )
 
-    def _measure(self, callers: int, idempotent: bool, work: Any) -> PathResult:
+    def _measure(self, client_count: int, idempotent: bool, load: Any) -> PathResult:
+        """Run a load function, which records latencies, and measure its duration."""
         histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         processes = {
             name: psutil.Process(pid) for name, pid in self._cluster.process_ids.items()
         }
-        cpu_before = {name: _cpu_s(each) for name, each in processes.items()}
-        counts_before = self._counts()
-        bytes_before = _loopback_bytes()
-        began = time.perf_counter()
-        work(histogram)
-        elapsed_s = time.perf_counter() - began
-        counts = self._counts()
-        sent = _loopback_bytes() - bytes_before
+        cpu_before = {name: _read_cpu_s(process) for name, process in processes.items()}
+        counts_before = self._fetch_counts()
+        bytes_before = _read_loopback_bytes()
+        started_s = time.perf_counter()
+        load(histogram)
+        elapsed_s = time.perf_counter() - started_s
+        counts = self._fetch_counts()
+        bytes_sent = _read_loopback_bytes() - bytes_before
         costs = [
             ProcessCost(
                 name,
-                round((_cpu_s(each) - cpu_before[name]) / elapsed_s, 4),
-                round(each.memory_info().rss / 2**20, 1),
+                round((_read_cpu_s(process) - cpu_before[name]) / elapsed_s, 4),
+                round(process.memory_info().rss / 2**20, 1),
             )
-            for name, each in processes.items()
+            for name, process in processes.items()
         ]
         transactions = counts["transactions"] - counts_before["transactions"]
         rows_read = counts["rows_read"] - counts_before["rows_read"]
         return PathResult(
             workers=self._workers,
-            callers=callers,
+            callers=client_count,
             idempotent=idempotent,
             per_second=round(histogram.get_total_count() / elapsed_s, 1),
             p50_ms=round(histogram.get_value_at_percentile(50) / 1000, 2),
             p99_ms=round(histogram.get_value_at_percentile(99) / 1000, 2),
             transactions_per_s=round(transactions / elapsed_s, 1),
             rows_read_per_s=round(rows_read / elapsed_s, 1),
-            bytes_per_s_per_worker=round(sent / elapsed_s / (2 * self._workers)),
+            bytes_per_s_per_worker=round(bytes_sent / elapsed_s / (2 * self._workers)),
             costs=costs,
         )
 
-    async def _send(
-        self, callers: int, idempotent: bool, histogram: HdrHistogram
+    async def _send_load(
+        self, client_count: int, idempotent: bool, histogram: HdrHistogram
     ) -> None:
+        """Run concurrent clients for `LOAD_DURATION_S` seconds."""
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
-            stop_s = time.perf_counter() + LOAD_S
+            deadline_s = time.perf_counter() + LOAD_DURATION_S
             await asyncio.gather(
                 *(
-                    self._call(session, number, idempotent, stop_s, histogram)
-                    for number in range(callers)
+                    self._send_requests(
+                        session, number, idempotent, deadline_s, histogram
+                    )
+                    for number in range(client_count)
                 )
             )
 
-    async def _call(
+    async def _send_requests(
         self,
         session: aiohttp.ClientSession,
         number: int,
         idempotent: bool,
-        stop_s: float,
+        deadline_s: float,
         histogram: HdrHistogram,
     ) -> None:
+        """Send one request after another until the deadline; record the latencies."""
         entry = self._cluster.entries[number % len(self._cluster.entries)]
-        url = f"{self._cluster.url(entry)}/v1/queues/proofs/requests"
+        url = f"{self._cluster.entry_url(entry)}/v1/queues/proofs/requests"
         headers = {"Authorization": f"Bearer {self._key}"}
         body = json.dumps(
             {
@@ -197,26 +213,27 @@
                 "resources": {"cores": 0.1, "memory_gb": 0.1},
             }
         )
-        while time.perf_counter() < stop_s:
-            began = time.perf_counter()
+        while time.perf_counter() < deadline_s:
+            started_s = time.perf_counter()
             async with session.post(url, data=body, headers=headers) as response:
-                answer = await response.json()
-                if answer.get("outcome") != "ran":
-                    raise RuntimeError(f"not answered: {answer}")
-            histogram.record_value(round((time.perf_counter() - began) * 1e6))
+                reply = await response.json()
+                if reply.get("outcome") != "ran":
+                    raise RuntimeError(f"reply without the outcome 'ran': {reply}")
+            histogram.record_value(round((time.perf_counter() - started_s) * 1e6))
 
-    def _counts(self) -> dict[str, int]:
+    def _fetch_counts(self) -> dict[str, int]:
         counts: dict[str, int] = call_http(
             "GET", f"{self._cluster.platform_url}/counts"
         ).body
         return counts
 
 
-def _cpu_s(process: psutil.Process) -> float:
+def _read_cpu_s(process: psutil.Process) -> float:
+    """Return the processor time that a process has used, in seconds."""
     times = process.cpu_times()
     return float(times.user + times.system)
 
 
-def _loopback_bytes() -> int:
-    """Return the bytes sent over loopback, each counted once."""
+def _read_loopback_bytes() -> int:
+    """Return the number of bytes sent over loopback; each byte is counted once."""
     return int(psutil.net_io_counters(pernic=True)["lo"].bytes_sent)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,6 +1,7 @@
-"""Waiting time, packing and closeness to share, against the baselines.
+"""Simulation of waiting time, packing and fairness under each scheduling policy.
 
-Both users' fleets are kept full by six teams whose demand is unequal to their shares.
+On the fleet of each of two users, six teams submit work in proportions that differ
+from their shares. The load is either less than the capacity or exceeds it, see `LOADS`.
 Declared run times are wrong by a factor between a quarter and four.
 """
 
@@ -33,17 +34,30 @@
 )
 
 SEED = 20261204
+"""Seed of all random numbers."""
+
 DURATION_S = 3600.0
+"""Simulated time, in seconds."""
+
 WARM_UP_S = 600.0
+"""Seconds at the beginning that are not measured."""
+
 SAMPLE_PERIOD_S = 5.0
+"""Seconds between two samples of the resource usage."""
+
 WINDOW_S = 600.0
+"""Seconds over which the usage of teams is averaged for `share_distance`."""
+
 MEAN_RUN_S = 40.0
+"""Mean run time of the tasks, in seconds."""
+
 LOADS = (0.8, 1.3)
+"""Loads to simulate, as fractions of the capacity."""
 
 
 @frozen
 class Pool:
-    """One pool of a user's fleet."""
+    """Pool of a user's fleet: its name, number of workers and capacity of each."""
 
     name: str
     workers: int
@@ -52,20 +66,20 @@
 
 @frozen
 class User:
-    """A user's fleet, teams and order.
+    """User organisation with its fleet, teams and order weights.
 
     Attributes
     ----------
     name : str
-        The user.
+        Name of the user.
     pools : tuple of Pool
-        The fleet.
+        Pools of the fleet.
     shares : dict of str to float
         Share by team.
     demand : dict of str to float
-        Part of the arriving work, by team.
+        Fraction of the arriving tasks, by team.
     weights : OrderWeights
-        How the user weighs shares and waiting.
+        Weights of usage and waiting time when teams are sorted.
     """
 
     name: str
@@ -101,26 +115,27 @@
 
 @frozen
 class PolicyResult:
-    """How one contender did on one pool.
+    """Result of one policy on one pool.
 
     Attributes
     ----------
     user, pool, contender : str
-        What was measured.
+        Names of the user, the pool and the policy.
     load : float
-        Work that arrives, as a part of what the pool could do without gaps.
+        Arriving work as a fraction of the pool's capacity.
     share_distance : float
-        Mean over windows of `WINDOW_S` of half the sum of the differences between
-        what teams use on average and what the shares of the teams with work entitle
-        them to, as parts of what is in use.
+        Distance between usage and entitlement, averaged over windows of `WINDOW_S`
+        seconds. In each window it is half the sum over teams of the absolute mean
+        difference between a team's usage and its max-min fair entitlement, both as
+        fractions of the usage of all teams.
     instant_share_distance : float
-        The same at single moments.
+        The same distance with windows of a single sample.
     waiting_p50_s, waiting_p99_s : float
-        Seconds from arrival to start of the tasks that started.
+        Percentiles of the time from arrival to start, of started tasks, in seconds.
     packing : float
-        Mean part in use of the most used resource.
+        Mean fraction in use of the most used resource.
     started : int
-        Tasks started.
+        Number of tasks that started after the warm-up.
     """
 
     user: str
@@ -137,6 +152,8 @@
 
 @frozen(order=True)
 class _Event:
+    """Arrival of a task, or the end of its run."""
+
     at_s: float
     sequence: int
     task: Task = field(order=False)
@@ -145,110 +162,127 @@
 
 @define
 class _Samples:
-    surplus: list[dict[str, float]] = field(factory=list)
+    """Measurements of one simulation.
+
+    Attributes
+    ----------
+    share_deviations : list of dict of str to float
+        Difference between usage and entitlement by team, for each sample.
+    packings : list of float
+        Fraction in use of the most used resource, for each sample.
+    waits_s : list of float
+        Time from arrival to start of each started task, in seconds.
+    """
+
+    share_deviations: list[dict[str, float]] = field(factory=list)
     packings: list[float] = field(factory=list)
     waits_s: list[float] = field(factory=list)
 
 
 class PolicySimulation:
-    """Plays one pool's hour with one contender.
+    """Simulates one hour of one pool under one policy.
 
     Parameters
     ----------
     user : User
-        The user.
+        User that the pool belongs to.
     pool : Pool
-        The pool.
-    name : str
-        Name of the contender.
+        Pool to simulate.
+    policy_name : str
+        Name of the policy.
     load : float
-        Work that arrives, as a part of what the pool could do without gaps.
+        Arriving work as a fraction of the pool's capacity.
     """
 
-    def __init__(self, user: User, pool: Pool, name: str, load: float) -> None:
+    def __init__(self, user: User, pool: Pool, policy_name: str, load: float) -> None:
         self._load = load
         self._user = user
         self._pool = pool
-        self._name = name
+        self._policy_name = policy_name
         self._clock = ManualClock()
         self._ledger = _make_ledger(pool)
-        self._contender = self._make_contender(name)
+        self._policy = self._make_policy(policy_name)
         self._random = random.Random(SEED)
         self._events: list[_Event] = []
         self._sequence = 0
-        self._used: defaultdict[str, Resources] = defaultdict(Resources)
-        self._waiting: defaultdict[str, Resources] = defaultdict(Resources)
+        self._used_by_team: defaultdict[str, Resources] = defaultdict(Resources)
+        self._waiting_by_team: defaultdict[str, Resources] = defaultdict(Resources)
         self._samples = _Samples()
 
     def run(self) -> PolicyResult:
-        """Play the hour and return what was measured."""
-        self._make_arrivals()
+        """Run the simulation and return its result."""
+        self._draw_arrivals()
         next_sample_s = WARM_UP_S
         while self._events:
             event = heapq.heappop(self._events)
             if event.at_s > DURATION_S:
                 break
             while next_sample_s <= event.at_s:
-                self._sample()
+                self._record_sample()
                 next_sample_s += SAMPLE_PERIOD_S
             self._clock.advance(event.at_s - self._clock.now())
-            self._handle(event)
+            self._process_event(event)
         waits_s = sorted(self._samples.waits_s)
         return PolicyResult(
             user=self._user.name,
             pool=self._pool.name,
-            contender=self._name,
+            contender=self._policy_name,
             load=self._load,
-            share_distance=round(self._mean_distance(WINDOW_S), 4),
-            instant_share_distance=round(self._mean_distance(SAMPLE_PERIOD_S), 4),
+            share_distance=round(self._mean_share_distance(WINDOW_S), 4),
+            instant_share_distance=round(self._mean_share_distance(SAMPLE_PERIOD_S), 4),
             waiting_p50_s=round(waits_s[len(waits_s) // 2], 2),
             waiting_p99_s=round(waits_s[len(waits_s) * 99 // 100], 2),
             packing=round(statistics.mean(self._samples.packings), 4),
             started=len(waits_s),
         )
 
-    def _make_contender(self, name: str) -> SchedulingPolicy:
-        makers: dict[str, Callable[[], SchedulingPolicy]] = {
+    def _make_policy(self, policy_name: str) -> SchedulingPolicy:
+        factories: dict[str, Callable[[], SchedulingPolicy]] = {
             "fuchsiadale": lambda: FuchsiadalePolicy(
                 self._ledger, self._clock, self._user.weights, self._user.shares
             ),
             "first_come_first_fit": lambda: FirstComeFirstFit(self._ledger),
             "random_fit": lambda: RandomFit(self._ledger, SEED),
         }
-        return makers[name]()
+        return factories[policy_name]()
 
-    def _make_arrivals(self) -> None:
-        """Draw arrivals whose work is `LOAD` times what the pool can do."""
-        mean_slots_s = MEAN_RUN_S
+    def _draw_arrivals(self) -> None:
+        """Draw task arrivals at random, so that their work makes up the load."""
+        mean_run_s = MEAN_RUN_S
         total_slots = self._pool.workers * self._pool.capacity.slots
-        rate = self._load * total_slots / mean_slots_s / self._mean_slots_per_task()
+        arrivals_per_s = (
+            self._load * total_slots / mean_run_s / self._mean_slots_per_task()
+        )
         at_s = 0.0
         number = 0
         teams = list(self._user.demand)
-        parts = list(self._user.demand.values())
+        fractions = list(self._user.demand.values())
         while at_s < DURATION_S:
-            at_s += self._random.expovariate(rate)
+            at_s += self._random.expovariate(arrivals_per_s)
             number += 1
-            team = self._random.choices(teams, parts)[0]
-            self._push(at_s, self._make_task(number, team, at_s), is_arrival=True)
+            team = self._random.choices(teams, fractions)[0]
+            self._push_event(at_s, self._make_task(number, team, at_s), is_arrival=True)
 
     def _mean_slots_per_task(self) -> float:
-        """Return the part of a worker's slots that a task fills on average."""
+        """Return how many of a worker's slots a task takes up on average.
+
+        A task that needs much processor time or memory takes up more than one slot.
+        """
         capacity = self._pool.capacity
-        per_worker = min(
+        tasks_per_worker = min(
             capacity.slots,
-            capacity.cpu_millis / self._mean_need().cpu_millis,
-            capacity.memory_mb / self._mean_need().memory_mb,
+            capacity.cpu_millis / self._mean_task_resources().cpu_millis,
+            capacity.memory_mb / self._mean_task_resources().memory_mb,
         )
-        return capacity.slots / per_worker
+        return capacity.slots / tasks_per_worker
 
-    def _mean_need(self) -> Resources:
+    def _mean_task_resources(self) -> Resources:
         capacity = self._pool.capacity
         return Resources(capacity.cpu_millis * 9 // 40, capacity.memory_mb * 9 // 40)
 
     def _make_task(self, number: int, team: str, at_s: float) -> Task:
         capacity = self._pool.capacity
-        need = Resources(
+        resources = Resources(
             capacity.cpu_millis * self._random.choice([1, 2, 4, 10]) // 20,
             capacity.memory_mb * self._random.choice([1, 2, 4, 10]) // 20,
             self._random.choice([0, 1, 2]) if capacity.accelerators else 0,
@@ -261,63 +295,76 @@
             team=team,
             queue="queue",
             program=Program("run"),
-            resources=need,
+            resources=resources,
             declared_run_s=MEAN_RUN_S * self._random.choice([0.25, 1.0, 4.0]),
         )
         return make_work(submission, at_s).tasks[0]
 
-    def _handle(self, event: _Event) -> None:
+    def _process_event(self, event: _Event) -> None:
         task = event.task
         team = task.submission.team
         if event.is_arrival:
-            self._waiting[team] = self._waiting[team] + task.submission.resources
-            self._contender.add(task)
+            self._waiting_by_team[team] = (
+                self._waiting_by_team[team] + task.submission.resources
+            )
+            self._policy.add(task)
         elif task.attempt is not None:
-            self._contender.release(task.attempt)
-            self._used[team] = self._used[team] - task.submission.resources
-        for placement in self._contender.schedule():
-            self._start(placement.task)
+            self._policy.release(task.attempt)
+            self._used_by_team[team] = (
+                self._used_by_team[team] - task.submission.resources
+            )
+        for placement in self._policy.schedule():
+            self._record_start(placement.task)
 
-    def _start(self, task: Task) -> None:
+    def _record_start(self, task: Task) -> None:
         team = task.submission.team
         now_s = self._clock.now()
-        self._waiting[team] = self._waiting[team] - task.submission.resources
-        self._used[team] = self._used[team] + task.submission.resources
+        self._waiting_by_team[team] = (
+            self._waiting_by_team[team] - task.submission.resources
+        )
+        self._used_by_team[team] = self._used_by_team[team] + task.submission.resources
         if now_s >= WARM_UP_S:
             self._samples.waits_s.append(now_s - task.queued_at_s)
         run_s = self._random.expovariate(1 / MEAN_RUN_S)
-        self._push(now_s + run_s, task, is_arrival=False)
+        self._push_event(now_s + run_s, task, is_arrival=False)
 
-    def _sample(self) -> None:
-        total = self._ledger.capacity
-        used = {
-            team: self._used[team].dominant_share(total) for team in self._user.shares
+    def _record_sample(self) -> None:
+        capacity = self._ledger.capacity
+        usage = {
+            team: self._used_by_team[team].dominant_share(capacity)
+            for team in self._user.shares
         }
-        all_used = sum(used.values()) or 1.0
-        self._samples.surplus.append(self._surplus(used, all_used))
-        whole = NO_RESOURCES
-        for amounts in self._used.values():
-            whole = whole + amounts
-        self._samples.packings.append(whole.dominant_share(total))
-
-    def _surplus(self, used: dict[str, float], all_used: float) -> dict[str, float]:
-        """Return what each team uses beyond the max-min fair division.
-
-        No team is entitled to more than it uses and waits for.
+        total_usage = sum(usage.values()) or 1.0
+        self._samples.share_deviations.append(
+            self._compute_share_deviations(usage, total_usage)
+        )
+        all_used = NO_RESOURCES
+        for used in self._used_by_team.values():
+            all_used = all_used + used
+        self._samples.packings.append(all_used.dominant_share(capacity))
+
+    def _compute_share_deviations(
+        self, usage: dict[str, float], total_usage: float
+    ) -> dict[str, float]:
+        """Return the difference between usage and entitlement of each team.
+
+        Both are fractions of the usage of all teams. The entitlement is max-min fair
+        by share; no team is entitled to more than it uses and waits for.
         """
-        total = self._ledger.capacity
-        parts = {team: amount / all_used for team, amount in used.items()}
+        capacity = self._ledger.capacity
+        fractions = {team: amount / total_usage for team, amount in usage.items()}
         demands = {
-            team: part + self._waiting[team].dominant_share(total) / all_used
-            for team, part in parts.items()
+            team: fraction
+            + self._waiting_by_team[team].dominant_share(capacity) / total_usage
+            for team, fraction in fractions.items()
         }
-        entitled = _fair_division(demands, self._user.shares)
-        return {team: parts[team] - entitled[team] for team in parts}
+        entitlements = _divide_max_min_fairly(demands, self._user.shares)
+        return {team: fractions[team] - entitlements[team] for team in fractions}
 
-    def _mean_distance(self, window_s: float) -> float:
-        """Return the mean distance of the averages over windows."""
-        size = round(window_s / SAMPLE_PERIOD_S)
-        samples = self._samples.surplus
+    def _mean_share_distance(self, window_s: float) -> float:
+        """Return the share distance, averaged over windows of `window_s` seconds."""
+        window_size = round(window_s / SAMPLE_PERIOD_S)
+        samples = self._samples.share_deviations
         distances = [
             0.5
             * sum(
@@ -325,62 +372,73 @@
                 for team in self._user.shares
             )
             for window in (
-                samples[start : start + size]
-                for start in range(0, len(samples) - size + 1, size)
+                samples[start : start + window_size]
+                for start in range(0, len(samples) - window_size + 1, window_size)
             )
         ]
         return statistics.mean(distances)
 
-    def _push(self, at_s: float, task: Task, is_arrival: bool) -> None:
+    def _push_event(self, at_s: float, task: Task, is_arrival: bool) -> None:
         self._sequence += 1
         heapq.heappush(self._events, _Event(at_s, self._sequence, task, is_arrival))
 
 
 @frozen
 class Experiment:
-    """One run to make."""
+    """Combination of user, pool, policy and load to simulate."""
 
     user: User
     pool: Pool
-    contender: str
+    policy_name: str
     load: float
 
 
 def list_experiments() -> Iterator[Experiment]:
-    """Yield a run of every user, pool, load and contender."""
+    """Yield an experiment for every user, pool, load and policy."""
     for user in USERS:
         for pool in user.pools:
             for load in LOADS:
-                for name in ("fuchsiadale", "first_come_first_fit", "random_fit"):
-                    yield Experiment(user, pool, name, load)
+                for policy_name in (
+                    "fuchsiadale",
+                    "first_come_first_fit",
+                    "random_fit",
+                ):
+                    yield Experiment(user, pool, policy_name, load)
 
 
-def run_experiment(plan: Experiment) -> PolicyResult:
-    """Make one run."""
-    return PolicySimulation(plan.user, plan.pool, plan.contender, plan.load).run()
+def run_experiment(experiment: Experiment) -> PolicyResult:
+    """Run one simulation and return its result."""
+    return PolicySimulation(
+        experiment.user, experiment.pool, experiment.policy_name, experiment.load
+    ).run()
 
 
-def _fair_division(
+def _divide_max_min_fairly(
     demands: dict[str, float], shares: dict[str, float]
 ) -> dict[str, float]:
-    """Divide one among teams by share, none getting more than it demands."""
-    entitled: dict[str, float] = {}
-    left = 1.0
-    open_teams = set(shares)
-    while open_teams:
-        total = sum(shares[team] for team in open_teams)
-        sated = {
-            team for team in open_teams if demands[team] <= left * shares[team] / total
+    """Divide the amount 1 among teams by share, max-min fairly.
+
+    No team gets more than it demands; what one leaves is divided among the others.
+    """
+    entitlements: dict[str, float] = {}
+    remaining = 1.0
+    unsatisfied_teams = set(shares)
+    while unsatisfied_teams:
+        total_share = sum(shares[team] for team in unsatisfied_teams)
+        satisfied_teams = {
+            team
+            for team in unsatisfied_teams
+            if demands[team] <= remaining * shares[team] / total_share
         }
-        if not sated:
-            for team in open_teams:
-                entitled[team] = left * shares[team] / total
-            return entitled
-        for team in sated:
-            entitled[team] = demands[team]
-        left -= sum(demands[team] for team in sated)
-        open_teams -= sated
-    return entitled
+        if not satisfied_teams:
+            for team in unsatisfied_teams:
+                entitlements[team] = remaining * shares[team] / total_share
+            return entitlements
+        for team in satisfied_teams:
+            entitlements[team] = demands[team]
+        remaining -= sum(demands[team] for team in satisfied_teams)
+        unsatisfied_teams -= satisfied_teams
+    return entitlements
 
 
 def _make_ledger(pool: Pool) -> Ledger:
--- a/bench/scheduling_policies.py
+++ b/bench/scheduling_policies.py
@@ -1,4 +1,4 @@
-"""The scheduler and the two baselines that it is compared with."""
+"""The scheduler and two baseline policies, behind one interface."""
 
 from __future__ import annotations
 
@@ -15,23 +15,35 @@
 
 
 class SchedulingPolicy(ABC):
-    """Places tasks on the workers of a ledger."""
+    """Places queued tasks on the workers of a ledger."""
 
     @abstractmethod
     def add(self, task: Task) -> None:
-        """Queue a task."""
+        """Add a task to the queue."""
 
     @abstractmethod
     def schedule(self) -> Iterator[Placement]:
-        """Place what fits now."""
+        """Place queued tasks as long as the policy allows, and yield the placements."""
 
     @abstractmethod
     def release(self, attempt: Attempt) -> None:
-        """Give back the room of an attempt that ended."""
+        """Free the resources that are allocated to an attempt that has ended."""
 
 
 class FuchsiadalePolicy(SchedulingPolicy):
-    """The scheduler under test."""
+    """The scheduler of this project, for one partition.
+
+    Parameters
+    ----------
+    ledger : Ledger
+        Ledger of the workers.
+    clock : Clock
+        Clock of the scheduler.
+    weights : OrderWeights
+        Weights of usage and waiting time when teams are sorted.
+    shares : dict of str to float
+        Shares by team.
+    """
 
     def __init__(
         self,
@@ -45,22 +57,22 @@
             self._scheduler.set_share(team, share)
 
     def add(self, task: Task) -> None:
-        """Queue a task."""
+        """Add a task to the queue."""
         self._scheduler.add(task)
 
     def schedule(self) -> Iterator[Placement]:
-        """Place what fits now."""
+        """Place queued tasks as long as the policy allows, and yield the placements."""
         yield from self._scheduler.schedule()
 
     def release(self, attempt: Attempt) -> None:
-        """Give back the room of an attempt that ended."""
+        """Free the resources that are allocated to an attempt that has ended."""
         self._scheduler.release(attempt)
 
 
 class FirstComeFirstFit(SchedulingPolicy):
-    """First come, first served, on the first worker that fits.
+    """Baseline that places tasks in order of arrival on the first worker that fits.
 
-    The queue's head waits until it fits, and everything behind it waits with it.
+    If the first task of the queue fits on no worker, all tasks behind it wait too.
     """
 
     def __init__(self, ledger: Ledger) -> None:
@@ -68,25 +80,25 @@
         self._queue: deque[Task] = deque()
 
     def add(self, task: Task) -> None:
-        """Queue a task."""
+        """Add a task to the queue."""
         self._queue.append(task)
 
     def schedule(self) -> Iterator[Placement]:
-        """Place what fits now."""
+        """Place queued tasks as long as the policy allows, and yield the placements."""
         while self._queue:
-            worker = self._choose(self._queue[0])
+            worker = self._choose_worker(self._queue[0])
             if worker is None:
                 return
             yield self._place(self._queue.popleft(), worker)
 
     def release(self, attempt: Attempt) -> None:
-        """Give back the room of an attempt that ended."""
+        """Free the resources that are allocated to an attempt that has ended."""
         self._ledger.deallocate(attempt)
 
-    def _choose(self, task: Task) -> Worker | None:
-        need = task.submission.resources
+    def _choose_worker(self, task: Task) -> Worker | None:
+        resources = task.submission.resources
         for worker in self._ledger.workers.values():
-            if need.fits_in(worker.unallocated):
+            if resources.fits_in(worker.unallocated):
                 return worker
         return None
 
@@ -108,17 +120,17 @@
 
 
 class RandomFit(FirstComeFirstFit):
-    """First come, first served, on a random worker that fits."""
+    """Baseline that places tasks in order of arrival on a random worker that fits."""
 
     def __init__(self, ledger: Ledger, seed: int) -> None:
         super().__init__(ledger)
         self._random = random.Random(seed)
 
     def _choose(self, task: Task) -> Worker | None:
-        need = task.submission.resources
-        fitting = [
+        resources = task.submission.resources
+        fitting_workers = [
             worker
             for worker in self._ledger.workers.values()
-            if need.fits_in(worker.unallocated)
+            if resources.fits_in(worker.unallocated)
         ]
-        return self._random.choice(fitting) if fitting else None
+        return self._random.choice(fitting_workers) if fitting_workers else None
--- a/src/fuchsiadale/standin/__init__.py
+++ b/src/fuchsiadale/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the backend servers."""
+"""Stand-ins for the platform and for backend servers, for tests and trials."""
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -1,4 +1,4 @@
-"""A whole system in one process on loopback: the embedded default."""
+"""Complete system in one process on loopback, for the ``dev`` command."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
 
 @frozen
 class DevOptions:
-    """How the embedded system is set up.
+    """Options of the system that runs in one process.
 
     Attributes
     ----------
-    callers : Address
-        Where it listens for callers.
+    client_address : Address
+        Address on which the entry listens for clients.
     folder : Path or None
-        The operators' folder; a small one of its own if None.
+        Folder of the configuration files to apply; `DEFAULT_FILES` are applied if None.
     """
 
     client_address: Address
@@ -60,12 +60,21 @@
 
 
 class DevSystem:
-    """One entry, the platform's stand-in and stand-in workers.
+    """One entry, the stand-in of the platform and stand-in workers in one process.
 
     Parameters
     ----------
     options : DevOptions
-        How it is set up.
+        Options of the system.
+
+    Attributes
+    ----------
+    admin_key : str
+        Random key for the operators' interface of the entry.
+    platform : PlatformStandIn
+        Stand-in of the platform.
+    daemon : EntryDaemon or None
+        The entry; None before the start.
     """
 
     def __init__(self, options: DevOptions) -> None:
@@ -77,12 +86,12 @@
 
     @property
     def url(self) -> str:
-        """Where callers reach the entry."""
+        """Base URL of the entry for clients; its port is 0 before the start."""
         port = self.daemon.callers_port if self.daemon is not None else 0
         return f"http://{LOOPBACK}:{port}"
 
     async def start(self) -> EntryDaemon:
-        """Start everything and return the entry."""
+        """Start the stand-ins and the entry, and return the entry."""
         platform_url = await self.serve(self.platform.make_app())
         workers = [
             *make_workers("general", 4, WorkerSize(16, 64)),
@@ -106,13 +115,13 @@
         return self.daemon
 
     def list_configuration_files(self) -> list[SourceFile]:
-        """Return the files of the configuration to apply."""
+        """Return the configuration files to apply."""
         if self._options.folder is not None:
             return list_files(self._options.folder)
         return DEFAULT_FILES
 
     async def serve(self, app: web.Application) -> str:
-        """Serve an application on a free port and return its address."""
+        """Serve an application on a free loopback port and return its base URL."""
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
         self._runners.append(runner)
@@ -120,7 +129,7 @@
         return f"http://{LOOPBACK}:{runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the entry, then the stand-ins in reverse order of their start."""
         if self.daemon is not None:
             await self.daemon.stop()
         for runner in reversed(self._runners):
@@ -128,7 +137,7 @@
 
 
 def find_free_port() -> int:
-    """Return a port on loopback that nobody listens on."""
+    """Return a loopback port that no process listens on at present."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
         return int(probe.getsockname()[1])
--- a/src/fuchsiadale/standin/fleet.py
+++ b/src/fuchsiadale/standin/fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of stand-in workers."""
+"""Descriptions of the stand-in workers of a pool."""
 
 from __future__ import annotations
 
@@ -10,11 +10,26 @@
 from fuchsiadale.decision.resources import Resources
 
 WORKERS_PER_RACK = 8
+"""Number of workers in each full rack of a failure domain."""
 
 
 @frozen
 class WorkerSize:
-    """What each worker of a pool has room for."""
+    """Capacity of one worker, in the units in which configurations state it.
+
+    Attributes
+    ----------
+    cores : int
+        Number of processor cores.
+    memory_gb : int
+        Memory in GiB.
+    accelerators : int
+        Number of accelerators.
+    slots : int
+        Number of attempts that may run at the same time.
+    connections : int
+        Number of connections that attempts may use.
+    """
 
     cores: int
     memory_gb: int
@@ -24,7 +39,7 @@
 
     @property
     def capacity(self) -> Resources:
-        """The shape as a resource vector."""
+        """The capacity as a resource vector."""
         return Resources(
             cpu_millis=self.cores * 1000,
             memory_mb=self.memory_gb * 1024,
@@ -37,20 +52,23 @@
 def make_workers(
     pool: str,
     count: int,
-    shape: WorkerSize,
+    size: WorkerSize,
     prefix: str = "",
     failure_domains: int = 3,
     fencing: bool = True,
 ) -> Iterator[WorkerInfo]:
-    """Yield the workers of a pool, spread evenly over failure domains."""
+    """Yield descriptions of a pool's workers, spread evenly over failure domains.
+
+    Names of workers begin with `prefix`, or with the pool's name if it is empty.
+    """
     for index in range(count):
-        domain = index % failure_domains
+        domain_index = index % failure_domains
         yield WorkerInfo(
             name=f"{prefix or pool}-{index}",
             pool=pool,
             address="",
-            failure_domain=f"domain-{domain}",
-            rack=f"rack-{domain}-{index // failure_domains // WORKERS_PER_RACK}",
-            capacity=shape.capacity,
+            failure_domain=f"domain-{domain_index}",
+            rack=f"rack-{domain_index}-{index // failure_domains // WORKERS_PER_RACK}",
+            capacity=size.capacity,
             fencing=fencing,
         )
--- a/src/fuchsiadale/standin/http.py
+++ b/src/fuchsiadale/standin/http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' HTTP applications share."""
+"""Decoding of requests and encoding of responses for the stand-ins over HTTP."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 async def read_body(request: web.Request, as_type: type[T]) -> T:
-    """Return the typed body of a call.
+    """Return the body of a request, decoded as `as_type`.
 
     Raises
     ------
     aiohttp.web.HTTPBadRequest
-        If the body is of another type.
+        If the body cannot be decoded as this type.
     """
     decoded = decode(await request.read(), as_type)
     if isinstance(decoded, Err):
@@ -27,5 +27,5 @@
 
 
 def make_response(value: object, status: int = 200) -> web.Response:
-    """Return the HTTP answer that carries a typed value."""
+    """Return an HTTP response whose body is the encoded value."""
     return web.Response(body=encode(value), status=status, content_type=CONTENT_TYPE)
--- a/src/fuchsiadale/standin/platform.py
+++ b/src/fuchsiadale/standin/platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in: table service, object store and host list over HTTP."""
+"""Stand-in for the platform: table service, object store and host list over HTTP."""
 
 from __future__ import annotations
 
@@ -25,8 +25,13 @@
     PlatformState,
 )
 
-LOST_ANSWER_DELAY_S = 60.0
+LOST_REPLY_DELAY_S = 60.0
+"""Seconds before a transaction of unknown outcome is answered.
+
+The delay is longer than clients wait, so that they see no reply.
+"""
 MAX_OBJECT_BYTES = 64 << 20
+"""Size limit of request bodies, thus also of objects, in bytes."""
 
 
 class PlatformStandIn:
@@ -35,7 +40,7 @@
     Parameters
     ----------
     state : PlatformState, optional
-        What the platform keeps.
+        State of the platform and the faults to inject; a new, empty state by default.
     """
 
     def __init__(self, state: PlatformState | None = None) -> None:
@@ -44,7 +49,7 @@
         self._objects = MemoryObjectStore(self.state)
 
     def make_app(self) -> web.Application:
-        """Return the HTTP application."""
+        """Return the HTTP application that serves the platform's services."""
         app = web.Application(client_max_size=MAX_OBJECT_BYTES)
         app.router.add_post("/table/read", self._read)
         app.router.add_post("/table/scan", self._scan)
@@ -52,23 +57,23 @@
         app.router.add_put("/objects/{name:.+}", self._put_object)
         app.router.add_get("/objects/{name:.+}", self._get_object)
         app.router.add_delete("/objects/{name:.+}", self._delete_object)
-        app.router.add_get("/hosts", self._list_hosts)
-        app.router.add_post("/hosts", self._put_hosts)
-        app.router.add_delete("/hosts/{name}", self._remove_host)
+        app.router.add_get("/hosts", self._get_host_list)
+        app.router.add_post("/hosts", self._put_workers)
+        app.router.add_delete("/hosts/{name}", self._remove_worker)
         app.router.add_put("/faults", self._set_faults)
         app.router.add_get("/counts", self._get_counts)
         return app
 
     async def _read(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, ReadRequest)
-        row = await self._table.read(wanted.key)
+        read_request = await read_body(request, ReadRequest)
+        row = await self._table.read(read_request.key)
         if isinstance(row, Err):
             return web.Response(status=503)
         return make_response(ReadReply(row.ok_value))
 
     async def _scan(self, request: web.Request) -> web.Response:
-        wanted = await read_body(request, ScanRequest)
-        rows = await self._table.scan(wanted.prefix, wanted.start)
+        scan_request = await read_body(request, ScanRequest)
+        rows = await self._table.scan(scan_request.prefix, scan_request.start)
         if isinstance(rows, Err):
             return web.Response(status=503)
         return make_response(ScanReply(list(rows.ok_value)))
@@ -81,7 +86,7 @@
         if outcome.err_value is TableFailure.CONFLICT:
             return make_response(TransactReply(None))
         if outcome.err_value is TableFailure.UNKNOWN:
-            await asyncio.sleep(LOST_ANSWER_DELAY_S)
+            await asyncio.sleep(LOST_REPLY_DELAY_S)
         return web.Response(status=503)
 
     async def _put_object(self, request: web.Request) -> web.Response:
@@ -101,17 +106,17 @@
         result = await self._objects.delete(request.match_info["name"])
         return web.Response(status=503 if isinstance(result, Err) else 204)
 
-    async def _list_hosts(self, request: web.Request) -> web.Response:
+    async def _get_host_list(self, request: web.Request) -> web.Response:
         self.state.counts.host_fetches += 1
         known_version = int(request.query.get("known_version", "0"))
         return make_response(self.state.list_hosts(known_version))
 
-    async def _put_hosts(self, request: web.Request) -> web.Response:
+    async def _put_workers(self, request: web.Request) -> web.Response:
         for info in await read_body(request, list[WorkerInfo]):
             self.state.put_worker(info)
         return web.Response(status=204)
 
-    async def _remove_host(self, request: web.Request) -> web.Response:
+    async def _remove_worker(self, request: web.Request) -> web.Response:
         self.state.remove_worker(request.match_info["name"])
         return web.Response(status=204)
 
--- a/src/fuchsiadale/standin/table.py
+++ b/src/fuchsiadale/standin/table.py
@@ -1,4 +1,4 @@
-"""An in-memory table, object store and host list, with faults to order."""
+"""Table service, object store and host list in memory, with fault injection."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 @define
 class PlatformFaults:
-    """Faults of the platform that a test has ordered.
+    """Faults that the platform stand-in simulates.
 
     Attributes
     ----------
     table_down : bool
-        Whether every table call is refused.
+        Whether the table service refuses every call.
     table_delay_s : float
-        Seconds by which table calls are slowed down.
+        Delay of every call to the table service, in seconds.
     lost_answers : int
-        Number of coming transactions that take effect and are not answered.
+        Number of the next transactions that are processed but get no reply.
     lost_calls : int
-        Number of coming transactions that take no effect and are not answered.
+        Number of the next transactions that are dropped and get no reply.
     objects_down : bool
-        Whether every object store call is refused.
+        Whether the object store refuses every call.
     hosts_frozen : bool
-        Whether the host list shows no changes.
+        Whether the host list keeps returning its last listing despite changes.
     """
 
     table_down: bool = False
@@ -52,7 +52,25 @@
 
 @define
 class PlatformCounts:
-    """Calls that the platform has served."""
+    """Numbers of calls that the platform has served, and of rows read and written.
+
+    Calls that the platform refuses because of a fault are not counted.
+
+    Attributes
+    ----------
+    reads : int
+        Reads of a single row and scans.
+    rows_read : int
+        Rows returned by scans, and one for each read of a single row.
+    transactions : int
+        Transactions received, also those that conflict or are dropped.
+    rows_written : int
+        Writes and deletions in committed transactions.
+    object_puts, object_gets : int
+        Objects written, and attempts to read one.
+    host_fetches : int
+        Fetches of the host list.
+    """
 
     reads: int = 0
     rows_read: int = 0
@@ -65,7 +83,29 @@
 
 @define
 class PlatformState:
-    """All that the platform keeps."""
+    """State of the platform, with the faults to inject and the counts of calls.
+
+    Attributes
+    ----------
+    faults : PlatformFaults
+        Faults to inject.
+    counts : PlatformCounts
+        Counts of the calls served.
+    rows : dict of str to Row
+        Rows of the table, by key.
+    sorted_keys : list of str
+        Keys of the rows, in ascending order.
+    last_version : int
+        Version of the last committed transaction.
+    objects : dict of str to bytes
+        Content of the objects, by name.
+    workers : dict of str to WorkerInfo
+        Workers in the host list, by name.
+    host_list_version : int
+        Version of the host list; increases with every change.
+    last_listing : HostListing or None
+        Listing returned last; it is returned again while the host list is frozen.
+    """
 
     faults: PlatformFaults = field(factory=PlatformFaults)
     counts: PlatformCounts = field(factory=PlatformCounts)
@@ -78,18 +118,18 @@
     last_listing: HostListing | None = None
 
     def scan(self, prefix: str, start: str) -> list[Row]:
-        """Return the rows under a prefix in order of their keys."""
-        found: list[Row] = []
+        """Return the rows whose keys begin with `prefix`, from key `start` on."""
+        rows: list[Row] = []
         for key in self.sorted_keys[
             bisect_left(self.sorted_keys, max(prefix, start)) :
         ]:
             if not key.startswith(prefix):
                 break
-            found.append(self.rows[key])
-        return found
+            rows.append(self.rows[key])
+        return rows
 
     def apply(self, transaction: Transaction) -> int | None:
-        """Apply a transaction; return its version, or None for a conflict."""
+        """Apply a transaction; return its version, or None if a condition fails."""
         for condition in transaction.conditions:
             row = self.rows.get(condition.key)
             if (
@@ -100,7 +140,7 @@
         for write in transaction.writes:
             self.counts.rows_written += 1
             if write.value is None:
-                self._delete(write.key)
+                self._delete_row(write.key)
                 continue
             if write.key not in self.rows:
                 insort(self.sorted_keys, write.key)
@@ -110,7 +150,7 @@
         return self.last_version
 
     def put_worker(self, info: WorkerInfo) -> None:
-        """Add a worker to the host list or change it."""
+        """Add a worker to the host list, or replace its description."""
         self.workers[info.name] = info
         self.host_list_version += 1
 
@@ -120,7 +160,10 @@
             self.host_list_version += 1
 
     def list_hosts(self, known_version: int) -> HostListing:
-        """Return the host list as it shows."""
+        """Return the host list, without workers if its version is `known_version`.
+
+        While the host list is frozen, the last listing counts as its content.
+        """
         if not self.faults.hosts_frozen or self.last_listing is None:
             workers = tuple(self.workers[name] for name in sorted(self.workers))
             self.last_listing = HostListing(self.host_list_version, workers)
@@ -128,13 +171,13 @@
             return HostListing(self.last_listing.version, None)
         return self.last_listing
 
-    def _delete(self, key: str) -> None:
+    def _delete_row(self, key: str) -> None:
         if self.rows.pop(key, None) is not None:
             del self.sorted_keys[bisect_left(self.sorted_keys, key)]
 
 
 class MemoryTable(TableService):
-    """The table service in memory."""
+    """Table service on the state of the platform stand-in."""
 
     def __init__(self, state: PlatformState) -> None:
         self._state = state
@@ -150,7 +193,7 @@
     async def scan(
         self, prefix: str, start: str = ""
     ) -> Result[Sequence[Row], TableFailure]:
-        """Return the rows whose keys begin with `prefix`, from `start` on."""
+        """Return the rows whose keys begin with `prefix`, from key `start` on."""
         if not await self._is_available():
             return Err(TableFailure.UNAVAILABLE)
         rows = self._state.scan(prefix, start)
@@ -161,7 +204,7 @@
     async def transact(
         self, transaction: Transaction
     ) -> Result[Committed, TableFailure]:
-        """Apply a transaction."""
+        """Apply all writes of a transaction if every condition holds."""
         if not await self._is_available():
             return Err(TableFailure.UNAVAILABLE)
         faults = self._state.faults
@@ -184,13 +227,13 @@
 
 
 class MemoryObjectStore(ObjectStore):
-    """The object store in memory."""
+    """Object store on the state of the platform stand-in."""
 
     def __init__(self, state: PlatformState) -> None:
         self._state = state
 
     async def put(self, name: str, body: bytes) -> Result[None, ObjectFailure]:
-        """Write an object."""
+        """Write an object under a name."""
         if self._state.faults.objects_down:
             return Err(ObjectFailure.UNAVAILABLE)
         self._state.counts.object_puts += 1
@@ -198,7 +241,7 @@
         return Ok(None)
 
     async def get(self, name: str) -> Result[bytes, ObjectFailure]:
-        """Read an object."""
+        """Return the content of an object."""
         if self._state.faults.objects_down:
             return Err(ObjectFailure.UNAVAILABLE)
         self._state.counts.object_gets += 1
@@ -206,7 +249,7 @@
         return Ok(body) if body is not None else Err(ObjectFailure.NOT_FOUND)
 
     async def delete(self, name: str) -> Result[None, ObjectFailure]:
-        """Remove an object; removing one that does not exist succeeds."""
+        """Delete an object; deleting one that does not exist succeeds."""
         if self._state.faults.objects_down:
             return Err(ObjectFailure.UNAVAILABLE)
         self._state.objects.pop(name, None)
@@ -214,12 +257,12 @@
 
 
 class MemoryHostList(HostList):
-    """The host list in memory."""
+    """Host list on the state of the platform stand-in."""
 
     def __init__(self, state: PlatformState) -> None:
         self._state = state
 
     async def fetch(self, known_version: int) -> Result[HostListing, str]:
-        """Return the list, without workers if `known_version` is the present one."""
+        """Return the list, without workers if its version is `known_version`."""
         self._state.counts.host_fetches += 1
         return Ok(self._state.list_hosts(known_version))
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -1,4 +1,4 @@
-"""One worker of the backend server's stand-in."""
+"""Stand-in worker that runs simple programs under the rules of a session."""
 
 from __future__ import annotations
 
@@ -31,25 +31,26 @@
 )
 from fuchsiadale.decision.work import AttemptEnd
 
-LEASE_CHECK_S = 0.5
+LEASE_CHECK_INTERVAL_S = 0.5
+"""Seconds between two checks whether the leases of the attempts have expired."""
 
 
 @define
 class WorkerFaults:
-    """Faults of one worker that a test has ordered.
+    """Faults that a stand-in worker simulates.
 
     Attributes
     ----------
     fails_every_task : bool
-        Whether every program fails.
+        Whether every attempt that ends fails.
     refuses_starts : bool
-        Whether starts are refused for want of room.
+        Whether starts are refused as on a worker without free capacity.
     leaving : bool
-        Whether the worker says that it is leaving.
+        Whether the worker refuses starts and reports that it is leaving the pool.
     drops_start_answers : int
-        Number of coming starts that take effect and are not answered.
+        Number of the next start calls that are executed but get no reply.
     truncates_answers : int
-        Number of coming answers that are cut short.
+        Number of the next answers to report without their last byte.
     """
 
     fails_every_task: bool = False
@@ -61,16 +62,16 @@
 
 @frozen
 class Observation:
-    """One run as the worker saw it.
+    """One ended run of an attempt, as the worker recorded it.
 
     Attributes
     ----------
     attempt_id, worker : str
-        The attempt and where it ran.
+        Id of the attempt, and name of the worker that ran it.
     started_s : float
-        Clock time at which it started.
+        Reading of the worker's clock at the start, in seconds.
     ended_s : float or None
-        Clock time at which it ended, if it did.
+        Reading of the worker's clock at the end, in seconds; None if it has not ended.
     """
 
     attempt_id: str
@@ -81,6 +82,18 @@
 
 @frozen
 class _SleepSettings:
+    """Settings of the program ``sleep``, read from its payload.
+
+    Attributes
+    ----------
+    run_s : float
+        Run time in seconds.
+    answer : bytes
+        Answer of the program.
+    takes : float
+        Processor and memory usage, as a multiple of the declared amounts.
+    """
+
     run_s: float = 0.1
     answer: bytes = b""
     takes: float = 1.0
@@ -88,29 +101,58 @@
 
 @define
 class _Run:
+    """A running attempt.
+
+    Attributes
+    ----------
+    order : StartOrder
+        Order that started the attempt.
+    started_s : float
+        Reading of the worker's clock at the start, in seconds.
+    usage_percent : int
+        Processor and memory usage, in percent of the declared amounts.
+    program_task : asyncio.Task or None
+        Task that executes the program; None until it is created.
+    """
+
     order: StartOrder
     started_s: float
-    takes_percent: int = 100
-    runner: asyncio.Task[None] | None = None
+    usage_percent: int = 100
+    program_task: asyncio.Task[None] | None = None
 
 
 @define
-class _End:
-    number: int
+class _EndRecord:
+    """The end of an attempt, kept until the owner acknowledges it."""
+
+    sequence_number: int
     message: EndMessage = field(repr=False)
 
 
 class StandInWorker:
-    """Runs attempts under a session, as a worker of the platform would.
+    """Runs attempts under the rules of a session, like a worker of the platform.
 
     Parameters
     ----------
     info : WorkerInfo
-        What the host list says of it.
+        Description of the worker from the host list.
     clock : Clock
-        Its clock.
+        Clock of the worker.
     rules : SessionRules, optional
-        Which session rules are in force.
+        Session rules to enforce; all by default.
+
+    Attributes
+    ----------
+    info : WorkerInfo
+        Description of the worker.
+    faults : WorkerFaults
+        Faults to simulate.
+    observations : list of Observation
+        The ended runs, in order of their ends.
+    peak_allocation : Resources
+        Element-wise maximum of the resources allocated so far.
+    has_exceeded_capacity : bool
+        Whether the allocated resources ever exceeded the capacity.
     """
 
     def __init__(
@@ -124,14 +166,14 @@
         self._clock = clock
         self._session = WorkerSession(clock.now(), rules)
         self._runs: dict[str, _Run] = {}
-        self._ends: dict[str, _End] = {}
+        self._ends: dict[str, _EndRecord] = {}
         self._end_count = 0
         self._boot_id = uuid.uuid4().hex[:8]
-        self._changed = asyncio.Event()
+        self._attempt_ended = asyncio.Event()
 
     @property
     def allocated_resources(self) -> Resources:
-        """What the running attempts take."""
+        """Sum of the resources that the running attempts declared."""
         total = NO_RESOURCES
         for run in self._runs.values():
             total = total + run.order.resources
@@ -139,88 +181,92 @@
 
     @property
     def used_resources(self) -> Resources:
-        """What the running attempts really take.
+        """Sum of the resources that the running attempts use.
 
-        An attempt takes ``"takes"`` times what it declared, if its payload says so.
+        If the payload of an attempt sets ``"takes"``, its processor and memory usage
+        are this multiple of the declared amounts.
         """
         total = NO_RESOURCES
         for run in self._runs.values():
             declared = run.order.resources
-            factor = run.takes_percent
+            percent = run.usage_percent
             total = total + declared.scaled_by_ratio(
-                Resources(factor, factor, 100, 100, 100),
+                Resources(percent, percent, 100, 100, 100),
                 Resources(100, 100, 100, 100, 100),
             )
         return total
 
     @property
     def running_attempt_ids(self) -> list[str]:
-        """The attempts that run."""
+        """Ids of the running attempts."""
         return list(self._runs)
 
     def adopt(self, order: AdoptOrder) -> Result[ReportMessage, SessionRefusal]:
-        """Take a new owner and tell it everything."""
+        """Accept a new owner, and report all ends that are still kept."""
         refusal = self._session.adopt(order.epoch)
         if refusal is not None:
             return Err(refusal)
-        return Ok(self._report(0))
+        return Ok(self._make_report(0))
 
     async def heartbeat(
         self, order: HeartbeatOrder
     ) -> Result[ReportMessage, SessionRefusal]:
-        """Renew the session; answer when something ended or the hold is over."""
+        """Renew the session and report, at the latest after the hold time.
+
+        The report is delayed until an attempt has ended that the owner does not know.
+        """
         refusal = self._session.renew(order.epoch, order.echo_s, self._clock.now())
         if refusal is not None:
             return Err(refusal)
         for attempt_id in order.acknowledged:
             self._ends.pop(attempt_id, None)
         if self._end_count <= order.received_through and order.hold_s > 0:
-            self._changed.clear()
+            self._attempt_ended.clear()
             try:
                 async with asyncio.timeout(order.hold_s):
-                    await self._changed.wait()
+                    await self._attempt_ended.wait()
             except TimeoutError:
                 pass
         if order.epoch < self._session.epoch:
             return Err(SessionRefusal.STALE_EPOCH)
-        return Ok(self._report(order.received_through))
+        return Ok(self._make_report(order.received_through))
 
     def start(self, batch: StartBatch) -> list[StartReply]:
-        """Start attempts, each under the session's rules."""
+        """Start attempts, as far as the rules of the session allow."""
         return [
-            StartReply(order.attempt_id, self._start_one(batch.epoch, order))
+            StartReply(order.attempt_id, self._start_attempt(batch.epoch, order))
             for order in batch.orders
         ]
 
     def stop(self, batch: StopBatch) -> None:
-        """End attempts."""
+        """Stop attempts, unless the sender's epoch is stale."""
         if batch.epoch < self._session.epoch:
             return
         for order in batch.orders:
-            self._end(order.attempt_id, AttemptEnd.STOPPED, b"")
+            self._end_attempt(order.attempt_id, AttemptEnd.STOPPED, b"")
 
     async def enforce_leases(self) -> None:
-        """End every attempt when its lease has lapsed."""
+        """End all attempts whenever the task leases have expired; never return."""
         while True:
-            await asyncio.sleep(LEASE_CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             if self._session.have_leases_expired(self._clock.now()):
                 for attempt_id in list(self._runs):
-                    self._end(attempt_id, AttemptEnd.LOST, b"")
+                    self._end_attempt(attempt_id, AttemptEnd.LOST, b"")
 
     def close(self) -> None:
-        """Stop everything without a word."""
+        """Cancel all attempts without recording their ends."""
         for run in self._runs.values():
-            if run.runner is not None:
-                run.runner.cancel()
+            if run.program_task is not None:
+                run.program_task.cancel()
         self._runs.clear()
 
     def reboot(self) -> None:
-        """Lose every attempt and all memory of them."""
+        """Cancel all attempts and forget their ends, as a reboot of the worker does."""
         self.close()
         self._ends.clear()
         self._boot_id = uuid.uuid4().hex[:8]
 
-    def _start_one(self, epoch: int, order: StartOrder) -> SessionRefusal | None:
+    def _start_attempt(self, epoch: int, order: StartOrder) -> SessionRefusal | None:
         refusal = self._session.check_start(
             epoch, order.valid_until_s, self._clock.now()
         )
@@ -232,27 +278,29 @@
             return SessionRefusal.LEAVING
         if self.faults.refuses_starts:
             return SessionRefusal.NO_ROOM
-        run = _Run(order, self._clock.now(), _takes_percent(order))
+        run = _Run(order, self._clock.now(), _read_usage_percent(order))
         self._runs[order.attempt_id] = run
         self.peak_allocation = self.peak_allocation.maximum(self.allocated_resources)
         if not self.allocated_resources.fits_in(self.info.capacity):
             self.has_exceeded_capacity = True
-        run.runner = asyncio.get_running_loop().create_task(self._run(order))
+        run.program_task = asyncio.get_running_loop().create_task(
+            self._run_program(order)
+        )
         return None
 
-    async def _run(self, order: StartOrder) -> None:
-        """Run a program of the stand-in.
+    async def _run_program(self, order: StartOrder) -> None:
+        """Execute the program of an attempt.
 
-        ``echo`` returns its payload; ``sleep`` reads ``{"run_s": ..., "answer": ...,
-        "takes": ...}`` and returns the answer after that time; ``forever`` never ends;
-        any other program fails.
+        ``echo`` answers with its payload. ``sleep`` reads the JSON payload
+        ``{"run_s": ..., "answer": ..., "takes": ...}`` and returns the answer after
+        `run_s` seconds. ``forever`` never ends. Any other program fails.
         """
         answer = order.payload
         end = AttemptEnd.SUCCEEDED
         if order.program == "forever":
             await asyncio.Event().wait()
         elif order.program == "sleep":
-            settings = _sleep_settings(order)
+            settings = _parse_sleep_settings(order)
             await asyncio.sleep(settings.run_s)
             answer = settings.answer
         elif order.program != "echo":
@@ -260,28 +308,31 @@
             answer = f"program {order.program!r} failed".encode()
         if self.faults.fails_every_task:
             end = AttemptEnd.FAILED
-            answer = b"the worker is broken"
-        self._end(order.attempt_id, end, answer)
+            answer = b"the stand-in worker is set to fail every attempt"
+        self._end_attempt(order.attempt_id, end, answer)
 
-    def _end(self, attempt_id: str, end: AttemptEnd, answer: bytes) -> None:
+    def _end_attempt(self, attempt_id: str, end: AttemptEnd, answer: bytes) -> None:
         run = self._runs.pop(attempt_id, None)
         if run is None:
             return
-        if run.runner is not None and run.runner is not asyncio.current_task():
-            run.runner.cancel()
+        if (
+            run.program_task is not None
+            and run.program_task is not asyncio.current_task()
+        ):
+            run.program_task.cancel()
         self._end_count += 1
         message = make_end_message(attempt_id, end, answer)
-        self._ends[attempt_id] = _End(self._end_count, message)
+        self._ends[attempt_id] = _EndRecord(self._end_count, message)
         self.observations.append(
             Observation(attempt_id, self.info.name, run.started_s, self._clock.now())
         )
-        self._changed.set()
+        self._attempt_ended.set()
 
-    def _report(self, received_through: int) -> ReportMessage:
+    def _make_report(self, received_through: int) -> ReportMessage:
         ended = [
-            self._sent(end.message)
+            self._apply_truncation(end.message)
             for end in self._ends.values()
-            if end.number > received_through
+            if end.sequence_number > received_through
         ]
         running = [
             RunningAttempt(run.order.attempt_id, run.order.team, run.order.resources)
@@ -297,7 +348,7 @@
             ended=ended,
         )
 
-    def _sent(self, message: EndMessage) -> EndMessage:
+    def _apply_truncation(self, message: EndMessage) -> EndMessage:
         if self.faults.truncates_answers <= 0 or not message.answer:
             return message
         self.faults.truncates_answers -= 1
@@ -310,8 +361,8 @@
         )
 
 
-def _sleep_settings(order: StartOrder) -> _SleepSettings:
-    """Return what a payload asks for; a payload that is not understood asks nothing."""
+def _parse_sleep_settings(order: StartOrder) -> _SleepSettings:
+    """Return the settings in a payload; the default ones if it cannot be parsed."""
     try:
         values = json.loads(order.payload or b"{}")
         return _SleepSettings(
@@ -323,8 +374,8 @@
         return _SleepSettings()
 
 
-def _takes_percent(order: StartOrder) -> int:
-    """Return what an attempt takes, as a percentage of what it declared."""
+def _read_usage_percent(order: StartOrder) -> int:
+    """Return the usage of an attempt in percent of the declared amounts."""
     if order.program != "sleep":
         return 100
-    return int(100 * _sleep_settings(order).takes)
+    return int(100 * _parse_sleep_settings(order).takes)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several entry nodes in one loop, over fakes of everything around them."""
+"""Cluster of entry nodes in one event loop, with stand-ins for all other systems."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class SequentialIds(IdSource):
-    """Makes identifiers in order."""
+    """Creates ascending identifiers, so that test runs are reproducible."""
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
@@ -54,16 +54,29 @@
 
 
 class TestCluster:
-    """Entry nodes, workers and a platform on one virtual clock.
+    """Entry nodes, stand-in workers and a stand-in platform on the clock of one loop.
 
     Parameters
     ----------
     nodes : int
         Number of entry nodes.
     workers : sequence of WorkerInfo
-        The workers; three small ones if not given.
+        Descriptions of the workers; three small workers by default.
     config : str
-        The operators' configuration.
+        Text of the configuration file to apply.
+
+    Attributes
+    ----------
+    clock : LoopClock
+        Clock of all nodes and workers.
+    platform_state : PlatformState
+        State of the stand-in platform.
+    network_faults : dict of str to NetworkFaults
+        Faults of the network as each node sees it, by host.
+    nodes : dict of str to EntryNode
+        The running nodes, by host.
+    workers : dict of str to StandInWorker
+        The workers, by name.
     """
 
     __test__ = False
@@ -87,12 +100,12 @@
 
     @property
     def platform_faults(self) -> PlatformFaults:
-        """The platform's faults."""
+        """Faults that the stand-in platform simulates."""
         return self.platform_state.faults
 
     @property
     def observations(self) -> list[Observation]:
-        """Every run that the workers saw, whether or not it has ended."""
+        """The ended runs that the workers recorded."""
         return [
             observation
             for worker in self.workers.values()
@@ -100,31 +113,31 @@
         ]
 
     async def __aenter__(self) -> TestCluster:
-        """Start everything and apply the configuration."""
+        """Start workers and nodes, apply the configuration, and wait until ready."""
         for info in self._worker_infos:
             self.add_worker(info)
         for index in range(self._node_count):
             self.start_node(f"entry-{index}")
-        first = next(iter(self.nodes.values()))
+        first_node = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
-        changed = await first.config.change_folder(
+        change_result = await first_node.config.change_folder(
             [SourceFile("all.yaml", self._config)], None
         )
-        changed.unwrap()
+        change_result.unwrap()
         await self.wait_until_ready()
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """Stop everything."""
+        """Stop all nodes and workers."""
         for node in self.nodes.values():
             await node.stop()
-        for watcher in self._lease_tasks:
-            watcher.cancel()
+        for task in self._lease_tasks:
+            task.cancel()
         for worker in self.workers.values():
             worker.close()
 
     def add_worker(self, info: WorkerInfo) -> None:
-        """Add a worker to the fleet and to the host list."""
+        """Start a worker and add it to the host list."""
         worker = StandInWorker(info, self.clock)
         self.workers[info.name] = worker
         self.platform_state.put_worker(evolve(info, address=info.name))
@@ -132,7 +145,7 @@
         self._lease_tasks.append(loop.create_task(worker.enforce_leases()))
 
     def start_node(self, host: str) -> EntryNode:
-        """Start an entry node; every start makes other identifiers."""
+        """Start an entry node; each start makes it create other identifiers."""
         self._start_count += 1
         node_faults = NetworkFaults()
         self.network_faults[host] = node_faults
@@ -154,7 +167,9 @@
             settings,
             platform,
             FaultyWorkerConnector(self.workers, node_faults),
-            FaultyPeerConnector(lambda other: self._reachable(host, other)),
+            FaultyPeerConnector(
+                lambda peer_host: self._find_reachable_node(host, peer_host)
+            ),
             SequentialIds(f"{host[-1]}{self._start_count:02x}"),
         )
         node.start()
@@ -162,22 +177,28 @@
         return node
 
     async def kill(self, host: str) -> None:
-        """End a node at once, without a word to anybody."""
+        """Stop a node abruptly: it does not drain and notifies no other node."""
         await self.nodes.pop(host).stop()
 
     async def wait_until(
         self, condition: Callable[[], bool], limit_s: float = 60.0
     ) -> float:
-        """Wait for a condition; return the seconds waited."""
-        began_s = self.clock.now()
+        """Wait for a condition and return the time waited, in seconds.
+
+        Raises
+        ------
+        AssertionError
+            If the condition does not hold within `limit_s` seconds.
+        """
+        started_s = self.clock.now()
         while not condition():
             await asyncio.sleep(0.02)
-            if self.clock.now() - began_s > limit_s:
-                raise AssertionError(f"did not come true within {limit_s} s")
-        return self.clock.now() - began_s
+            if self.clock.now() - started_s > limit_s:
+                raise AssertionError(f"the condition did not hold within {limit_s} s")
+        return self.clock.now() - started_s
 
     async def wait_until_ready(self) -> None:
-        """Wait until every node is ready and the partition's owner may act."""
+        """Wait until all nodes are ready and the partition's owner may act."""
         await self.wait_until(
             lambda: (
                 all(node.is_ready for node in self.nodes.values())
@@ -186,7 +207,7 @@
         )
 
     def find_owner(self, partition: str = "general.0") -> str | None:
-        """Return the host that owns a partition and may act for it."""
+        """Return the host that owns a partition and may act; None if none does."""
         for host, node in self.nodes.items():
             driver = node.ownership.drivers.get(partition)
             if driver is not None and driver.partition.authority.may_act():
@@ -194,11 +215,11 @@
         return None
 
     def find_other_host(self, host: str | None) -> str:
-        """Return the first host that is not this one."""
+        """Return the first running host other than `host`."""
         return next(name for name in self.nodes if name != host)
 
     def isolate(self, host: str) -> None:
-        """Cut a node off from its peers, both ways."""
+        """Make a node and its peers unreachable for each other."""
         for name, node_faults in self.network_faults.items():
             if name == host:
                 node_faults.unreachable_peers.update(set(self.network_faults) - {host})
@@ -206,10 +227,10 @@
                 node_faults.unreachable_peers.add(host)
 
     def list_runs(self, work_id: str) -> list[Observation]:
-        """Return the ended runs of a piece of work."""
-        return [o for o in self.observations if o.attempt_id.startswith(work_id)]
+        """Return the ended runs of attempts whose ids begin with `work_id`."""
+        return [run for run in self.observations if run.attempt_id.startswith(work_id)]
 
-    def _reachable(self, host: str, other: str) -> EntryNode | None:
-        if other in self.network_faults[host].unreachable_peers:
+    def _find_reachable_node(self, host: str, peer_host: str) -> EntryNode | None:
+        if peer_host in self.network_faults[host].unreachable_peers:
             return None
-        return self.nodes.get(other)
+        return self.nodes.get(peer_host)
--- a/tests/faulty_network.py
+++ b/tests/faulty_network.py
@@ -1,4 +1,4 @@
-"""Everything around an entry node, as that node reaches it."""
+"""Connections of an entry node to the other systems, with simulated network faults."""
 
 from __future__ import annotations
 
@@ -51,24 +51,28 @@
 
 T = TypeVar("T")
 
-LOST_CALL_S = 2.0
+LOST_CALL_DELAY_S = 2.0
+"""Seconds after which a call fails whose request or reply is lost."""
+
 NETWORK_DELAY_S = 0.001
+"""Seconds that each request takes."""
 
 
 @define
 class NetworkFaults:
-    """What one node cannot reach.
+    """Network faults between one node and the other systems.
 
     Attributes
     ----------
     is_store_unreachable, is_host_list_unreachable : bool
-        Whether the table and the object store, or the host list, are out of reach.
+        Whether the table service and the object store, or the host list, are
+        unreachable.
     unreachable_peers : set of str
-        Peers out of reach, by host.
+        Hosts of the unreachable peers.
     unreachable_workers : set of str
-        Workers out of reach.
+        Names of the unreachable workers.
     workers_losing_replies : set of str
-        Workers whose answers do not arrive, though calls reach them.
+        Names of the workers that receive requests but whose replies are lost.
     """
 
     is_store_unreachable: bool = False
@@ -79,7 +83,7 @@
 
 
 class FaultyTable(MemoryTable):
-    """The table as one node reaches it."""
+    """Table service as seen by one node, subject to its network faults."""
 
     def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
@@ -91,72 +95,76 @@
 
 
 class FaultyObjectStore(MemoryObjectStore):
-    """The object store as one node reaches it."""
+    """Object store as seen by one node, subject to its network faults."""
 
     def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
         self._faults = faults
 
     async def get(self, name: str) -> Result[bytes, object]:  # type: ignore[override]
-        """Read an object."""
+        """Return the content of an object."""
         if self._faults.is_store_unreachable:
             return Err(TableFailure.UNAVAILABLE)
         return await super().get(name)
 
 
 class FaultyWorkerClient(BackendServer):
-    """A stand-in worker as one node reaches it."""
+    """Client of a stand-in worker, subject to the network faults of one node."""
 
     def __init__(self, worker: StandInWorker, faults: NetworkFaults) -> None:
         self._worker = worker
         self._faults = faults
 
     async def adopt(self, order: AdoptOrder) -> Result[WorkerReport, CallFailure]:
-        """Become the worker's owner."""
-        if await self._is_cut():
+        """Make the sender the worker's owner and return the worker's report."""
+        if await self._is_call_lost():
             return Err(CallFailure.UNKNOWN)
-        return await self._answer(_report(self._worker.adopt(order)))
+        return await self._deliver_reply(_convert_report(self._worker.adopt(order)))
 
     async def heartbeat(
         self, order: HeartbeatOrder
     ) -> Result[WorkerReport, CallFailure]:
-        """Renew the session and learn what ended."""
-        if await self._is_cut():
+        """Renew the session and the task leases; return the worker's report."""
+        if await self._is_call_lost():
             return Err(CallFailure.UNKNOWN)
-        return await self._answer(_report(await self._worker.heartbeat(order)))
+        return await self._deliver_reply(
+            _convert_report(await self._worker.heartbeat(order))
+        )
 
     async def start(
         self, batch: StartBatch
     ) -> Result[Sequence[StartReply], CallFailure]:
-        """Start attempts."""
-        if await self._is_cut():
+        """Order the worker to start attempts; return one reply for each."""
+        if await self._is_call_lost():
             return Err(CallFailure.UNKNOWN)
-        return await self._answer(Ok(self._worker.start(batch)))
+        return await self._deliver_reply(Ok(self._worker.start(batch)))
 
     async def stop(self, batch: StopBatch) -> Result[None, CallFailure]:
-        """End attempts; their ends are told by a later heartbeat."""
-        if await self._is_cut():
+        """Order the worker to end attempts; later heartbeats report their ends."""
+        if await self._is_call_lost():
             return Err(CallFailure.UNKNOWN)
         self._worker.stop(batch)
-        return await self._answer(Ok(None))
+        return await self._deliver_reply(Ok(None))
 
-    async def _is_cut(self) -> bool:
+    async def _is_call_lost(self) -> bool:
         await asyncio.sleep(NETWORK_DELAY_S)
         if self._worker.info.name in self._faults.unreachable_workers:
-            await asyncio.sleep(LOST_CALL_S)
+            await asyncio.sleep(LOST_CALL_DELAY_S)
             return True
         return False
 
-    async def _answer(self, answer: Result[T, CallFailure]) -> Result[T, CallFailure]:
+    async def _deliver_reply(
+        self, reply: Result[T, CallFailure]
+    ) -> Result[T, CallFailure]:
         names = self._faults.workers_losing_replies | self._faults.unreachable_workers
         if self._worker.info.name in names:
-            await asyncio.sleep(LOST_CALL_S)
+            await asyncio.sleep(LOST_CALL_DELAY_S)
             return Err(CallFailure.UNKNOWN)
-        return answer
+        return reply
 
 
 class FaultyWorkerConnector(BackendConnector):
-    """The workers as one node reaches them."""
+    """Creates clients of the stand-in workers for one node."""
 
     def __init__(
         self, workers: dict[str, StandInWorker], faults: NetworkFaults
@@ -165,7 +173,7 @@
         self._faults = faults
 
     def connect(self, address: str) -> BackendServer:
-        """Return a client of the backend server at an address."""
+        """Return a client of the worker whose name is `address`."""
         return FaultyWorkerClient(self._workers[address], self._faults)
 
     async def close(self) -> None:
@@ -173,31 +181,34 @@
 
 
 class FaultyPeer(Peer):
-    """A node as one of its peers reaches it, by the same messages as over gRPC."""
+    """Client of a peer that calls its gRPC service directly, without a connection.
+
+    Requests and replies have the same message types as over gRPC.
+    """
 
     def __init__(
-        self, member: str, host: str, find: Callable[[str], EntryNode | None]
+        self, member: str, host: str, find_node: Callable[[str], EntryNode | None]
     ) -> None:
         self._member = member
         self._host = host
-        self._find = find
+        self._find_node = find_node
 
     @property
     def member(self) -> str:
-        """The member that it is."""
+        """Member that this client calls."""
         return self._member
 
     async def submit(
         self, submission: Submission, reply_to: str
     ) -> Result[str, Refusal]:
-        """Submit work for a member; return the id of the work accepted."""
+        """Submit work whose result goes to a member; return the id of the work."""
         request = SubmitRequest(member=reply_to, submissions=[encode(submission)])
-        node = await self._reach()
+        node = await self._reach_node()
         if node is None:
-            return Err(self._lost())
+            return Err(self._make_unreachable_refusal())
         reply = await node.peer_service.Submit(request, None)
-        if self._find(self._host) is None:
-            return Err(self._lost())
+        if self._find_node(self._host) is None:
+            return Err(self._make_unreachable_refusal())
         result = reply.results[0]
         if result.HasField("failure"):
             return Err(from_failure(result.failure))
@@ -206,10 +217,10 @@
     async def cancel(
         self, work_id: str, reason: Refusal, member: str
     ) -> Result[WorkView, Refusal]:
-        """End work, unless the caller of another member waits for it."""
-        node = await self._reach()
+        """Cancel work, unless a client of another member waits for it."""
+        node = await self._reach_node()
         if node is None:
-            return Err(self._lost())
+            return Err(self._make_unreachable_refusal())
         reply = await node.peer_service.Cancel(
             CancelRequest(work_id=work_id, reason=to_failure(reason), member=member),
             None,
@@ -221,19 +232,19 @@
     async def show(self, work_id: str, hold_s: float) -> Result[WorkView, Refusal]:
         """Return a view of work, once it is final or `hold_s` seconds have passed."""
         request = ShowRequest(work_id=work_id, hold_ms=int(hold_s * 1000))
-        return (await self._show(request)).map(lambda views: views[0])
+        return (await self._fetch_views(request)).map(lambda views: views[0])
 
     async def list_team(
         self, partition: str, team: str
     ) -> Result[list[WorkView], Refusal]:
         """Return views of a team's jobs in one partition."""
-        return await self._show(ShowRequest(partition=partition, team=team))
+        return await self._fetch_views(ShowRequest(partition=partition, team=team))
 
     async def inspect(self, partition: str) -> Result[PartitionView, Refusal]:
         """Return a view of a partition for operators."""
-        node = await self._reach()
+        node = await self._reach_node()
         if node is None:
-            return Err(self._lost())
+            return Err(self._make_unreachable_refusal())
         reply = await node.peer_service.Inspect(
             InspectRequest(partition=partition), None
         )
@@ -242,16 +253,16 @@
         return Ok(decode(reply.view, PartitionView).unwrap())
 
     async def gossip(self, request: GossipRequest) -> Result[GossipReply, Refusal]:
-        """Exchange versions and usage."""
-        node = await self._reach()
+        """Exchange configuration versions and the usage of teams."""
+        node = await self._reach_node()
         if node is None:
-            return Err(self._lost())
+            return Err(self._make_unreachable_refusal())
         return Ok(await node.peer_service.Gossip(request, None))
 
     async def collect(
         self, own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
-        """Fetch results for this process, for ever."""
+        """Fetch the results for this member and deliver them, until cancelled."""
         member = own_member()
         through = 0
         while True:
@@ -261,11 +272,11 @@
             request = CollectRequest(
                 member=member, received_through=through, hold_ms=1000
             )
-            node = await self._reach()
+            node = await self._reach_node()
             if node is None:
                 continue
             reply = await node.peer_service.Collect(request, None)
-            if self._find(self._host) is None:
+            if self._find_node(self._host) is None:
                 continue
             for body in reply.views:
                 deliver(decode(body, WorkView).unwrap())
@@ -274,41 +285,43 @@
     async def close(self) -> None:
         """Close nothing."""
 
-    async def _show(self, request: ShowRequest) -> Result[list[WorkView], Refusal]:
-        node = await self._reach()
+    async def _fetch_views(
+        self, request: ShowRequest
+    ) -> Result[list[WorkView], Refusal]:
+        node = await self._reach_node()
         if node is None:
-            return Err(self._lost())
+            return Err(self._make_unreachable_refusal())
         reply = await node.peer_service.Show(request, None)
         if reply.HasField("failure"):
             return Err(from_failure(reply.failure))
         return Ok([decode(body, WorkView).unwrap() for body in reply.views])
 
-    async def _reach(self) -> EntryNode | None:
+    async def _reach_node(self) -> EntryNode | None:
         await asyncio.sleep(NETWORK_DELAY_S)
-        node = self._find(self._host)
+        node = self._find_node(self._host)
         if node is None:
-            await asyncio.sleep(LOST_CALL_S)
+            await asyncio.sleep(LOST_CALL_DELAY_S)
         return node
 
-    def _lost(self) -> Refusal:
+    def _make_unreachable_refusal(self) -> Refusal:
         return unreachable(self._member, "cut")
 
 
 class FaultyPeerConnector(PeerConnector):
-    """The peers as one node reaches them."""
+    """Creates clients of the peers that one node can reach."""
 
-    def __init__(self, find: Callable[[str], EntryNode | None]) -> None:
-        self._find = find
+    def __init__(self, find_node: Callable[[str], EntryNode | None]) -> None:
+        self._find_node = find_node
 
     def connect(self, member: str, address: str) -> Peer:
-        """Return the peer that listens at an address."""
-        return FaultyPeer(member, address.partition(":")[0], self._find)
+        """Return a client of the peer that listens on an address."""
+        return FaultyPeer(member, address.partition(":")[0], self._find_node)
 
 
-def _report(
-    answer: Result[ReportMessage, SessionRefusal],
+def _convert_report(
+    result: Result[ReportMessage, SessionRefusal],
 ) -> Result[WorkerReport, CallFailure]:
-    if isinstance(answer, Err):
+    if isinstance(result, Err):
         return Err(CallFailure.STALE_EPOCH)
-    checked = validate_report(answer.ok_value)
-    return checked.map_err(lambda _: CallFailure.INVALID_ANSWER)
+    report = validate_report(result.ok_value)
+    return report.map_err(lambda _: CallFailure.INVALID_ANSWER)
--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -1,4 +1,4 @@
-"""Plays whole sessions from files and shows what was answered."""
+"""Runs sessions of calls from YAML text and returns the replies as YAML text."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 
 from tools.processes import ADMIN_KEY, ProcessCluster, call_http, wait_until
 
-WORK_ID = re.compile(r"(general|imaging)\.\d+\.[0-9a-f]{32}")
-WORKER = re.compile(r"(general|imaging)-\d")
-CHANGING_FIELDS = frozenset({"waited_s", "age_s", "key_id", "key", "keys"})
+WORK_ID_PATTERN = re.compile(r"(general|imaging)\.\d+\.[0-9a-f]{32}")
+WORKER_PATTERN = re.compile(r"(general|imaging)-\d")
+VOLATILE_FIELDS = frozenset({"waited_s", "age_s", "key_id", "key", "keys"})
+"""Fields of replies whose values differ between runs; replaced by placeholders."""
 
 
 class GoldenSession:
-    """One session: its steps are read from a file, its answers are shown.
+    """Runs the steps of one session on a cluster and collects the replies.
 
-    A step calls one entry (``call``), saves fields of the answer (``save``), or
-    drives a failure (``kill_owner``, ``faults``).
+    A step calls one entry (``call``) and may save fields of the reply (``save``), waits
+    for a state of the cluster (``owner``, ``ready``, ``in_force``), or injects a
+    failure (``kill_owner``, ``faults``).
 
     Parameters
     ----------
     cluster : ProcessCluster
-        The processes to play it on.
+        The cluster to run the steps on.
     """
 
     def __init__(self, cluster: ProcessCluster) -> None:
@@ -32,18 +34,18 @@
         self._saved: dict[str, str] = {"operator": ADMIN_KEY}
         self._work_ids: dict[str, str] = {}
 
-    def play(self, text: str) -> str:
-        """Play the steps in a YAML text and return what is shown of them."""
-        shown = [self._play_step(step) for step in yaml.safe_load(text)]
+    def run(self, text: str) -> str:
+        """Run the steps in a YAML text and return their results as YAML text."""
+        results = [self._run_step(step) for step in yaml.safe_load(text)]
         return yaml.safe_dump(
-            shown,
+            results,
             sort_keys=False,
             allow_unicode=True,
             width=88,
             default_flow_style=False,
         )
 
-    def _play_step(self, step: dict[str, Any]) -> dict[str, Any]:
+    def _run_step(self, step: dict[str, Any]) -> dict[str, Any]:
         if "kill_owner" in step:
             owner = self._cluster.wait_for_owner(step["kill_owner"])
             self._cluster.stop_process(owner, SIGKILL)
@@ -61,18 +63,21 @@
             url = f"{self._cluster.platform_url}/faults"
             call_http("PUT", url, step["faults"])
             return {"step": f"platform faults: {step['faults']}"}
-        return self._call(step)
+        return self._run_call(step)
 
-    def _call(self, step: dict[str, Any]) -> dict[str, Any]:
+    def _run_call(self, step: dict[str, Any]) -> dict[str, Any]:
         entries = self._cluster.entries
         entry = entries[int(step.get("entry", 0)) % len(entries)]
-        method, path = self._fill(step["call"]).split(" ", 1)
+        method, path = self._substitute_saved_values(step["call"]).split(" ", 1)
         headers = {
-            name: self._fill(value) for name, value in step.get("headers", {}).items()
+            name: self._substitute_saved_values(value)
+            for name, value in step.get("headers", {}).items()
         }
         if "key" in step:
-            headers["Authorization"] = "Bearer " + self._fill(str(step["key"]))
-        url = self._cluster.url(entry) + path
+            headers["Authorization"] = "Bearer " + self._substitute_saved_values(
+                str(step["key"])
+            )
+        url = self._cluster.entry_url(entry) + path
         if "until" in step:
             wait_until(
                 lambda: (
@@ -83,12 +88,12 @@
         reply = call_http(method, url, step.get("body"), headers)
         for name, field in step.get("save", {}).items():
             self._saved[name] = str(reply.body[field])
-        shown: dict[str, Any] = {"step": step["call"], "status": reply.status}
+        result: dict[str, Any] = {"step": step["call"], "status": reply.status}
         if step.get("show", True):
-            shown["answer"] = self._normalise(reply.body)
-        return shown
+            result["answer"] = self._normalise(reply.body)
+        return result
 
-    def _fill(self, text: str) -> str:
+    def _substitute_saved_values(self, text: str) -> str:
         for name, value in self._saved.items():
             text = text.replace(f"${{{name}}}", value)
         return text
@@ -96,16 +101,16 @@
     def _normalise(self, value: Any) -> Any:
         if isinstance(value, dict):
             return {
-                name: f"<{name}>" if name in CHANGING_FIELDS else self._normalise(inner)
+                name: f"<{name}>" if name in VOLATILE_FIELDS else self._normalise(inner)
                 for name, inner in value.items()
             }
         if isinstance(value, list):
             return [self._normalise(inner) for inner in value]
         if not isinstance(value, str):
             return value
-        text = WORK_ID.sub(lambda found: self._name_work(found[0]), value)
-        return WORKER.sub(r"\1-<n>", text)
+        text = WORK_ID_PATTERN.sub(lambda match: self._name_work_id(match[0]), value)
+        return WORKER_PATTERN.sub(r"\1-<n>", text)
 
-    def _name_work(self, work_id: str) -> str:
+    def _name_work_id(self, work_id: str) -> str:
         name = f"{work_id.rpartition('.')[0]}.<work {len(self._work_ids) + 1}>"
         return self._work_ids.setdefault(work_id, name)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions over real processes."""
+"""Sessions over real processes, compared with recorded replies in golden files."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from tests.golden_session import GoldenSession
 from tools.processes import ProcessCluster
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN_FOLDER = Path(__file__).parent / "golden"
 SESSIONS = sorted(
-    path.name.removesuffix(".session.yaml") for path in GOLDEN.glob("*.session.yaml")
+    path.name.removesuffix(".session.yaml")
+    for path in GOLDEN_FOLDER.glob("*.session.yaml")
 )
 
 
 @pytest.mark.processes
 @pytest.mark.parametrize("name", SESSIONS)
-def test_session_is_answered_as_recorded(name: str, tmp_path: Path) -> None:
+def test_session_matches_recorded_replies(name: str, tmp_path: Path) -> None:
     cluster = ProcessCluster(tmp_path)
     try:
         cluster.start()
-        steps = (GOLDEN / f"{name}.session.yaml").read_text("utf-8")
-        shown = GoldenSession(cluster).play(steps)
+        steps = (GOLDEN_FOLDER / f"{name}.session.yaml").read_text("utf-8")
+        results = GoldenSession(cluster).run(steps)
     finally:
         cluster.stop()
-    expected = GOLDEN / f"{name}.expected.yaml"
+    expected_file = GOLDEN_FOLDER / f"{name}.expected.yaml"
     if os.environ.get("FUCHSIADALE_RECORD"):
-        expected.write_text(shown, "utf-8")
-    assert shown == expected.read_text("utf-8")
+        expected_file.write_text(results, "utf-8")
+    assert results == expected_file.read_text("utf-8")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Failures of real processes: pauses, silent connections and planned stops."""
+"""Failures and planned stops of real processes, under a load of requests."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
         cluster.stop()
 
 
-class Callers:
-    """Callers that keep sending requests, each to the entries in turn."""
+class RequestLoad:
+    """Clients that keep sending requests, each to all entries in turn."""
 
     def __init__(self, cluster: ProcessCluster, idempotent: bool) -> None:
         reply = cluster.call_admin("POST", "/keys", {"team": "guild"})
@@ -47,94 +47,105 @@
         self._headers = {"Authorization": f"Bearer {reply.body['key']}"}
         self._cluster = cluster
         self._idempotent = idempotent
-        self._is_over = threading.Event()
+        self._is_stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._send, args=(number,)) for number in range(6)
         ]
 
-    def __enter__(self) -> Callers:
+    def __enter__(self) -> RequestLoad:
         for thread in self._threads:
             thread.start()
         return self
 
     def __exit__(self, *error: object) -> None:
-        self._is_over.set()
+        self._is_stopping.set()
         for thread in self._threads:
             thread.join()
 
     def _send(self, number: int) -> None:
         count = 0
-        while not self._is_over.is_set():
+        while not self._is_stopping.is_set():
             count += 1
-            payload = f"caller {number} request {count}"
+            payload = f"client {number} request {count}"
             body = {
                 "program": "echo",
                 "payload": payload,
                 "idempotent": self._idempotent,
             }
             entries = self._cluster.entries
-            url = self._cluster.url(entries[(number + count) % len(entries)])
-            # The platform's balancer sends nobody to an entry that is not ready.
+            url = self._cluster.entry_url(entries[(number + count) % len(entries)])
+            # Like the load balancer of the platform, skips entries that are not ready.
             if call_http("GET", f"{url}/readyz", timeout_s=5.0).status != 200:
                 continue
             path = "/v1/queues/proofs/requests"
             reply = call_http("POST", url + path, body, self._headers)
             self.replies.append((payload, reply))
 
-    def check(self, cluster: ProcessCluster) -> Counter[str]:
-        """Compare what callers were told with what the workers saw."""
-        seen = cluster.fetch_observations("general")
-        assert seen["overfilled"] == []
-        runs = Counter(
+    def check_outcomes(self, cluster: ProcessCluster) -> Counter[str]:
+        """Check replies against the runs that workers recorded; count the outcomes.
+
+        No worker may have exceeded its capacity. A request with the outcome ``ran``
+        must have run exactly once, and one with ``not_run`` never. A request without
+        a reply may have run or not.
+        """
+        recorded = cluster.fetch_observations("general")
+        assert recorded["overfilled"] == []
+        run_counts = Counter(
             observation["attempt_id"].rpartition("/")[0]
-            for observation in seen["observations"]
+            for observation in recorded["observations"]
         )
-        told: Counter[str] = Counter()
+        outcomes: Counter[str] = Counter()
         for payload, reply in self.replies:
             if reply.status == 0:
-                told["not answered"] += 1
+                outcomes["no reply"] += 1
                 continue
             body: Any = reply.body
-            told[body["outcome"]] += 1
+            outcomes[body["outcome"]] += 1
             if body["outcome"] == "ran":
                 assert body["answer"] == payload
-                assert runs[body["work_id"]] == 1
+                assert run_counts[body["work_id"]] == 1
             elif body["outcome"] == "not_run":
-                assert runs[body.get("work_id", "")] == 0
-        return told
+                assert run_counts[body.get("work_id", "")] == 0
+        return outcomes
 
 
-def test_paused_owner_doubles_nothing_when_it_wakes(cluster: ProcessCluster) -> None:
+def test_paused_owner_runs_no_request_twice_after_it_resumes(
+    cluster: ProcessCluster,
+) -> None:
     owner = cluster.find_owner("general.0") or ""
-    with Callers(cluster, idempotent=False) as callers:
+    with RequestLoad(cluster, idempotent=False) as load:
         time.sleep(1.0)
         cluster.send_signal(owner, SIGSTOP)
         time.sleep(15.0)
         cluster.send_signal(owner, SIGCONT)
         time.sleep(5.0)
-    told = callers.check(cluster)
-    assert told["ran"] > 0
+    outcomes = load.check_outcomes(cluster)
+    assert outcomes["ran"] > 0
     cluster.wait_for_owner("general.0")
 
 
-def test_silent_connections_are_replaced(cluster: ProcessCluster) -> None:
-    with Callers(cluster, idempotent=False) as callers:
+def test_requests_run_after_connections_to_workers_fall_silent(
+    cluster: ProcessCluster,
+) -> None:
+    with RequestLoad(cluster, idempotent=False) as load:
         time.sleep(1.0)
         call_http("POST", f"{cluster.workers_url('general')}/silence")
         time.sleep(6.0)
-        count = len(callers.replies)
+        count = len(load.replies)
         time.sleep(2.0)
-        assert len(callers.replies) > count
-    told = callers.check(cluster)
-    assert set(told) == {"ran"}
+        assert len(load.replies) > count
+    outcomes = load.check_outcomes(cluster)
+    assert set(outcomes) == {"ran"}
 
 
-def test_planned_stop_of_every_entry_cuts_no_request(cluster: ProcessCluster) -> None:
-    with Callers(cluster, idempotent=False) as callers:
+def test_rolling_restart_of_all_entries_fails_no_request(
+    cluster: ProcessCluster,
+) -> None:
+    with RequestLoad(cluster, idempotent=False) as load:
         for entry in list(cluster.entries):
             time.sleep(1.0)
             assert cluster.stop_process(entry, SIGTERM) == 0
             cluster.start_entry(entry)
             cluster.wait_until_ready()
-    told = callers.check(cluster)
-    assert set(told) == {"ran"}
+    outcomes = load.check_outcomes(cluster)
+    assert set(outcomes) == {"ran"}
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock moves only when nothing is left to run."""
+"""Event loop with a virtual clock, which skips the time in which the loop is idle."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Advances the clock by the time that the loop would have waited."""
+    """Advances the virtual clock by each timeout instead of waiting for it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,24 +21,26 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("every task waits for something that cannot happen")
+            raise RuntimeError(
+                "deadlock: tasks are waiting, but no callback or timer is pending"
+            )
         self.now_s += max(timeout, 0.0)
         return super().select(0)
 
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order, at once."""
+    """Runs timers in order of their times, without waiting for them."""
 
     def __init__(self) -> None:
-        self._skipping = _VirtualTimeSelector()
-        super().__init__(self._skipping)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._skipping.now_s
+        return self._time_selector.now_s
 
 
 def run_with_virtual_clock(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on a virtual clock and end whatever it leaves."""
+    """Run a coroutine on a virtual clock and cancel the tasks that it leaves."""
     with asyncio.Runner(loop_factory=VirtualClockLoop) as runner:
         return runner.run(main)
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Developers' tools; not part of the package."""
+"""Tools for developers; not part of the installed package."""
--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -1,4 +1,4 @@
-"""Keeps a cluster of separate processes up on loopback until it is interrupted."""
+"""Runs a cluster of separate processes on loopback until it is interrupted."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def main() -> None:
-    """Start the cluster, say where it listens, and stop it on SIGINT or SIGTERM."""
+    """Start the cluster, print its URLs and key, and stop it on SIGINT or SIGTERM."""
     with tempfile.TemporaryDirectory() as folder:
         cluster = ProcessCluster(Path(folder))
         try:
             cluster.start()
             for entry in cluster.entries:
-                print(f"{entry} listens on {cluster.url(entry)}")
-            print(f"platform's stand-in on {cluster.platform_url}")
-            print(f"operator's key: {ADMIN_KEY}", flush=True)
+                print(f"{entry} serves clients on {cluster.entry_url(entry)}")
+            print(f"the stand-in of the platform listens on {cluster.platform_url}")
+            print(f"key for the operators' interface: {ADMIN_KEY}", flush=True)
             sigwait([SIGINT, SIGTERM])
         finally:
             cluster.stop()
