--- a/bench/policies.py
+++ b/bench/policies.py
@@ -282,7 +282,7 @@
 
     def _make_task(self, number: int, team: str, at_s: float) -> Task:
         capacity = self._pool.capacity
-        resources = Resources(
+        requested = Resources(
             capacity.cpu_millis * self._random.choice([1, 2, 4, 10]) // 20,
             capacity.memory_mb * self._random.choice([1, 2, 4, 10]) // 20,
             self._random.choice([0, 1, 2]) if capacity.accelerators else 0,
@@ -295,7 +295,7 @@
             team=team,
             queue="queue",
             program=Program("run"),
-            resources=resources,
+            resources=requested,
             declared_run_s=MEAN_RUN_S * self._random.choice([0.25, 1.0, 4.0]),
         )
         return make_work(submission, at_s).tasks[0]
@@ -329,9 +329,9 @@
         self._push_event(now_s + run_s, task, is_arrival=False)
 
     def _record_sample(self) -> None:
-        capacity = self._ledger.capacity
+        total_capacity = self._ledger.capacity
         usage = {
-            team: self._used_by_team[team].dominant_share(capacity)
+            team: self._used_by_team[team].dominant_share(total_capacity)
             for team in self._user.shares
         }
         total_usage = sum(usage.values()) or 1.0
@@ -341,7 +341,7 @@
         all_used = NO_RESOURCES
         for used in self._used_by_team.values():
             all_used = all_used + used
-        self._samples.packings.append(all_used.dominant_share(capacity))
+        self._samples.packings.append(all_used.dominant_share(total_capacity))
 
     def _compute_share_deviations(
         self, usage: dict[str, float], total_usage: float
@@ -351,11 +351,11 @@
         Both are fractions of the usage of all teams. The entitlement is max-min fair
         by share; no team is entitled to more than it uses and waits for.
         """
-        capacity = self._ledger.capacity
+        total_capacity = self._ledger.capacity
         fractions = {team: amount / total_usage for team, amount in usage.items()}
         demands = {
             team: fraction
-            + self._waiting_by_team[team].dominant_share(capacity) / total_usage
+            + self._waiting_by_team[team].dominant_share(total_capacity) / total_usage
             for team, fraction in fractions.items()
         }
         entitlements = _divide_max_min_fairly(demands, self._user.shares)
--- a/bench/scheduling_policies.py
+++ b/bench/scheduling_policies.py
@@ -96,9 +96,9 @@
         self._ledger.deallocate(attempt)
 
     def _choose_worker(self, task: Task) -> Worker | None:
-        resources = task.submission.resources
+        requested = task.submission.resources
         for worker in self._ledger.workers.values():
-            if resources.fits_in(worker.unallocated):
+            if requested.fits_in(worker.unallocated):
                 return worker
         return None
 
@@ -126,11 +126,11 @@
         super().__init__(ledger)
         self._random = random.Random(seed)
 
-    def _choose(self, task: Task) -> Worker | None:
-        resources = task.submission.resources
+    def _choose_worker(self, task: Task) -> Worker | None:
+        requested = task.submission.resources
         fitting_workers = [
             worker
             for worker in self._ledger.workers.values()
-            if resources.fits_in(worker.unallocated)
+            if requested.fits_in(worker.unallocated)
         ]
         return self._random.choice(fitting_workers) if fitting_workers else None
--- a/src/fuchsiadale/standin/backend_server.py
+++ b/src/fuchsiadale/standin/backend_server.py
@@ -139,7 +139,7 @@
         return web.json_response(cattrs.unstructure(worker.faults))
 
     async def _get_observations(self, request: web.Request) -> web.Response:
-        observations = [
+        all_observations = [
             observation
             for worker in self.workers.values()
             for observation in worker.observations
@@ -156,7 +156,7 @@
         ]
         return web.json_response(
             {
-                "observations": cattrs.unstructure(observations),
+                "observations": cattrs.unstructure(all_observations),
                 "overfilled": overfilled,
                 "running": running,
             }
--- a/src/fuchsiadale/standin/table.py
+++ b/src/fuchsiadale/standin/table.py
@@ -119,14 +119,14 @@
 
     def scan(self, prefix: str, start: str) -> list[Row]:
         """Return the rows whose keys begin with `prefix`, from key `start` on."""
-        rows: list[Row] = []
+        matching_rows: list[Row] = []
         for key in self.sorted_keys[
             bisect_left(self.sorted_keys, max(prefix, start)) :
         ]:
             if not key.startswith(prefix):
                 break
-            rows.append(self.rows[key])
-        return rows
+            matching_rows.append(self.rows[key])
+        return matching_rows
 
     def apply(self, transaction: Transaction) -> int | None:
         """Apply a transaction; return its version, or None if a condition fails."""
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -308,7 +308,7 @@
             answer = f"program {order.program!r} failed".encode()
         if self.faults.fails_every_task:
             end = AttemptEnd.FAILED
-            answer = b"the stand-in worker is set to fail every attempt"
+            answer = b"the worker is broken"
         self._end_attempt(order.attempt_id, end, answer)
 
     def _end_attempt(self, attempt_id: str, end: AttemptEnd, answer: bytes) -> None:
--- a/tests/faulty_network.py
+++ b/tests/faulty_network.py
@@ -95,7 +95,7 @@
 
 
 class FaultyObjectStore(MemoryObjectStore):
-    """Object store as seen by one node, subject to its network faults."""
+    """Object store as seen by one node; reads fail while it is unreachable."""
 
     def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
@@ -177,7 +177,7 @@
         return FaultyWorkerClient(self._workers[address], self._faults)
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as no connection is open."""
 
 
 class FaultyPeer(Peer):
@@ -283,7 +283,7 @@
             through = reply.through
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as no connection is open."""
 
     async def _fetch_views(
         self, request: ShowRequest
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -73,11 +73,17 @@
 
 
 def wait_until(condition: Callable[[], bool], awaited: str) -> None:
-    """Wait for a condition; fail with the name of what was awaited on a timeout."""
+    """Wait for a condition, which holds once `awaited` is available.
+
+    Raises
+    ------
+    AssertionError
+        If the condition does not hold within `WAIT_TIMEOUT_S` seconds.
+    """
     deadline_s = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline_s:
-            raise AssertionError(f"timed out while waiting for {awaited}")
+            raise AssertionError(f"{awaited} was not available before the timeout")
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -206,7 +212,7 @@
     def wait_for_owner(self, partition: str) -> str:
         """Wait until a running entry owns a partition and may act; return its name."""
         wait_until(
-            lambda: self.find_owner(partition) is not None, f"the owner of {partition}"
+            lambda: self.find_owner(partition) is not None, f"{partition}'s owner"
         )
         return self.find_owner(partition) or ""
 
