--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -46,9 +46,9 @@
 class DecisionLatency:
     """Time per decision at one number of workers and of teams.
 
-    Each decision ends the oldest running attempt, accepts a request and places it. The
-    number of running attempts is kept at nine tenths of all slots, or lower if no
-    further request fits.
+    Each decision ends the oldest running attempt, accepts a request and starts what
+    fits. Before, requests are started until attempts fill nine tenths of all slots or a
+    request cannot start at once.
 
     Attributes
     ----------
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,4 +1,7 @@
-"""Benchmark of the memory that the state of a partition takes."""
+"""Benchmark of the memory that each object in the state of a partition takes.
+
+The encoded size of a configuration document is reported too.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,10 @@
 from fuchsiadale.decision.work import AttemptEnd, WorkKind, make_work
 
 SMALL_COUNT = 200
-"""Number of objects in the smaller of the two states that are compared."""
+"""Number of objects in the smaller of the two states that are compared.
+
+The partitions that hold requests also have this number of workers.
+"""
 
 LARGE_COUNT = 2200
 """Number of objects in the larger of the two states that are compared."""
@@ -35,36 +41,44 @@
 
 
 @frozen
-class MemorySlope:
-    """Memory that each object of one kind takes.
+class ObjectMemory:
+    """Size of each object of one kind.
 
     Attributes
     ----------
     what : str
         Kind of the objects.
     bytes_each : int
-        Bytes for each object.
+        Bytes of memory for each object; for the configuration document, its encoded
+        size.
     """
 
     what: str
     bytes_each: int
 
 
-def measure_all() -> Iterator[MemorySlope]:
+def measure_all() -> Iterator[ObjectMemory]:
     """Measure each kind of objects."""
-    yield _measure_slope("worker in the ledger", make_partition)
-    yield _measure_slope("request that waits or runs", _make_accepted_requests)
-    yield _measure_slope("request that ended and is kept", _make_ended_requests)
-    yield _measure_slope("task of a batch of 100", _make_batches)
+    yield _measure_object_memory("worker in the ledger", make_partition)
+    yield _measure_object_memory("request that waits or runs", _make_accepted_requests)
+    yield _measure_object_memory("request that ended and is kept", _make_ended_requests)
+    yield _measure_object_memory("task of a batch of 100", _make_batches)
     document = _make_document()
-    yield MemorySlope("configuration document of 690 teams", len(encode(document)))
+    yield ObjectMemory("configuration document of 690 teams", len(encode(document)))
 
 
-def _measure_slope(what: str, make_state: Callable[[int], object]) -> MemorySlope:
-    """Measure a kind of objects by the difference of a large and a small state."""
+def _measure_object_memory(
+    what: str, make_state: Callable[[int], object]
+) -> ObjectMemory:
+    """Return the memory per object of one kind.
+
+    It is the difference in memory between a state with `LARGE_COUNT` objects and one
+    with `SMALL_COUNT`, divided by the difference in count, so that fixed costs cancel
+    out.
+    """
     small_bytes = _measure_bytes(make_state, SMALL_COUNT)
     large_bytes = _measure_bytes(make_state, LARGE_COUNT)
-    return MemorySlope(
+    return ObjectMemory(
         what, round((large_bytes - small_bytes) / (LARGE_COUNT - SMALL_COUNT))
     )
 
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -67,11 +67,12 @@
     callers : int
         Number of clients that send one request after another; 0 without load.
     idempotent : bool
-        Whether the requests are idempotent, so that their starts are not recorded.
+        Whether the requests are idempotent, so that their starts are not recorded; of
+        no meaning without load.
     per_second : float
-        Requests answered per second.
+        Requests answered per second; 0 without load.
     p50_ms, p99_ms : float
-        Percentiles of the latency of the requests, in milliseconds.
+        Percentiles of the latency of the requests, in milliseconds; 0 without load.
     transactions_per_s, rows_read_per_s : float
         Load on the table service, per second.
     bytes_per_s_per_worker : float
@@ -108,7 +109,10 @@
         self._key = ""
 
     def __enter__(self) -> PathBenchmark:
-        """Start and configure the cluster, and wait until its partitions are stable."""
+        """Start and configure the cluster, and wait until it is ready.
+
+        Another 8 seconds pass before it is measured, so that the partitions settle.
+        """
         self._cluster.start()
         self._cluster.call_admin("PUT", "/config", {"files": {"all.yaml": CONFIG}})
         self._cluster.wait_for_owner("general.0")
@@ -141,7 +145,10 @@
         )
 
     def _measure(self, client_count: int, idempotent: bool, load: Any) -> PathResult:
-        """Run a load function, which records latencies, and measure its duration."""
+        """Call `load` with a histogram to record latencies in, and return the result.
+
+        The result covers the costs of the processes and the traffic during the call.
+        """
         histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         processes = {
             name: psutil.Process(pid) for name, pid in self._cluster.process_ids.items()
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -2,7 +2,8 @@
 
 On the fleet of each of two users, six teams submit work in proportions that differ
 from their shares. The load is either less than the capacity or exceeds it, see `LOADS`.
-Declared run times are wrong by a factor between a quarter and four.
+Declared run times are a quarter, one or four times the mean run time; actual run times
+are drawn from an exponential distribution.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 """Mean run time of the tasks, in seconds."""
 
 LOADS = (0.8, 1.3)
-"""Loads to simulate, as fractions of the capacity."""
+"""Loads to simulate, as fractions of what a completely used pool could run."""
 
 
 @frozen
@@ -122,16 +123,18 @@
     user, pool, contender : str
         Names of the user, the pool and the policy.
     load : float
-        Arriving work as a fraction of the pool's capacity.
+        Arriving work as a fraction of what the pool could run if tasks left no
+        capacity unused; accelerators are not taken into account.
     share_distance : float
         Distance between usage and entitlement, averaged over windows of `WINDOW_S`
-        seconds. In each window it is half the sum over teams of the absolute mean
-        difference between a team's usage and its max-min fair entitlement, both as
-        fractions of the usage of all teams.
+        seconds. In each window, the difference between a team's usage and its max-min
+        fair entitlement, as fractions of the usage of all teams, is averaged. The
+        distance is half the sum over teams of the absolute values of these averages.
     instant_share_distance : float
         The same distance with windows of a single sample.
     waiting_p50_s, waiting_p99_s : float
-        Percentiles of the time from arrival to start, of started tasks, in seconds.
+        Percentiles of the time from arrival to start, of the tasks started after the
+        warm-up, in seconds.
     packing : float
         Mean fraction in use of the most used resource.
     started : int
@@ -171,7 +174,7 @@
     packings : list of float
         Fraction in use of the most used resource, for each sample.
     waits_s : list of float
-        Time from arrival to start of each started task, in seconds.
+        Time from arrival to start of each task started after the warm-up, in seconds.
     """
 
     share_deviations: list[dict[str, float]] = field(factory=list)
@@ -191,7 +194,8 @@
     policy_name : str
         Name of the policy.
     load : float
-        Arriving work as a fraction of the pool's capacity.
+        Arriving work as a fraction of what the pool could run if tasks left no
+        capacity unused; accelerators are not taken into account.
     """
 
     def __init__(self, user: User, pool: Pool, policy_name: str, load: float) -> None:
@@ -247,7 +251,7 @@
         return factories[policy_name]()
 
     def _draw_arrivals(self) -> None:
-        """Draw task arrivals at random, so that their work makes up the load."""
+        """Draw random arrivals, whose work on average makes up the load to simulate."""
         mean_run_s = MEAN_RUN_S
         total_slots = self._pool.workers * self._pool.capacity.slots
         arrivals_per_s = (
@@ -266,7 +270,7 @@
     def _mean_slots_per_task(self) -> float:
         """Return how many of a worker's slots a task takes up on average.
 
-        A task that needs much processor time or memory takes up more than one slot.
+        A task that requests many cores or much memory takes up more than one slot.
         """
         capacity = self._pool.capacity
         tasks_per_worker = min(
@@ -277,6 +281,10 @@
         return capacity.slots / tasks_per_worker
 
     def _mean_task_resources(self) -> Resources:
+        """Return approximate mean resources of a task: 9/40 of a worker's capacity.
+
+        The exact mean of the amounts drawn in `_make_task` is 17/80 of the capacity.
+        """
         capacity = self._pool.capacity
         return Resources(capacity.cpu_millis * 9 // 40, capacity.memory_mb * 9 // 40)
 
@@ -416,9 +424,10 @@
 def _divide_max_min_fairly(
     demands: dict[str, float], shares: dict[str, float]
 ) -> dict[str, float]:
-    """Divide the amount 1 among teams by share, max-min fairly.
+    """Divide 1.0 among teams by share, max-min fairly.
 
-    No team gets more than it demands; what one leaves is divided among the others.
+    No team gets more than it demands; what a team does not need is divided among the
+    others.
     """
     entitlements: dict[str, float] = {}
     remaining = 1.0
--- a/bench/scheduling_policies.py
+++ b/bench/scheduling_policies.py
@@ -31,7 +31,7 @@
 
 
 class FuchsiadalePolicy(SchedulingPolicy):
-    """The scheduler of this project, for one partition.
+    """The scheduler of this project, for a partition whose owner has epoch 1.
 
     Parameters
     ----------
--- a/src/fuchsiadale/standin/backend_server.py
+++ b/src/fuchsiadale/standin/backend_server.py
@@ -53,7 +53,7 @@
     def __init__(self, workers: Iterable[WorkerInfo], clock: Clock) -> None:
         self.workers = {info.name: StandInWorker(info, clock) for info in workers}
         self._lease_tasks: list[asyncio.Task[None]] = []
-        self._open_connections: WeakSet[asyncio.Transport] = WeakSet()
+        self._worker_connections: WeakSet[asyncio.Transport] = WeakSet()
         self._silent_connections: WeakSet[asyncio.Transport] = WeakSet()
 
     def make_app(self) -> web.Application:
@@ -71,7 +71,20 @@
         return app
 
     async def register(self, platform_url: str, own_url: str) -> None:
-        """Add the workers, with their URLs below `own_url`, to the host list."""
+        """Register the workers in the platform's host list.
+
+        Parameters
+        ----------
+        platform_url : str
+            Base URL of the platform.
+        own_url : str
+            Base URL of this server; the URLs of the workers begin with it.
+
+        Raises
+        ------
+        aiohttp.ClientResponseError
+            If the platform replies with an error status.
+        """
         infos = [
             evolve(worker.info, address=f"{own_url}/w/{name}")
             for name, worker in self.workers.items()
@@ -98,16 +111,19 @@
     async def _hang_if_silent(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Delay worker calls on silent connections until their clients time out."""
+        """Leave calls on connections that ``/silence`` has marked unanswered."""
         if request.path.startswith("/w/") and request.transport is not None:
-            self._open_connections.add(request.transport)
+            self._worker_connections.add(request.transport)
         if request.transport in self._silent_connections:
             await asyncio.sleep(HANG_DURATION_S)
         return await handler(request)
 
     async def _silence_connections(self, request: web.Request) -> web.Response:
-        """Leave all further calls on the connections that are open now unanswered."""
-        self._silent_connections.update(self._open_connections)
+        """Leave all further calls on the present worker connections unanswered.
+
+        These are the open connections that have carried a call to a worker.
+        """
+        self._silent_connections.update(self._worker_connections)
         return web.Response(status=204)
 
     async def _adopt(self, request: web.Request) -> web.Response:
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -45,7 +45,7 @@
 
 @frozen
 class DevOptions:
-    """Options of the system that runs in one process.
+    """Options of a `DevSystem`.
 
     Attributes
     ----------
@@ -86,7 +86,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL of the entry for clients; its port is 0 before the start."""
+        """Loopback URL of the entry for clients; its port is 0 before the start."""
         port = self.daemon.callers_port if self.daemon is not None else 0
         return f"http://{LOOPBACK}:{port}"
 
--- a/src/fuchsiadale/standin/fleet.py
+++ b/src/fuchsiadale/standin/fleet.py
@@ -59,7 +59,20 @@
 ) -> Iterator[WorkerInfo]:
     """Yield descriptions of a pool's workers, spread evenly over failure domains.
 
-    Names of workers begin with `prefix`, or with the pool's name if it is empty.
+    Parameters
+    ----------
+    pool : str
+        Pool of the workers.
+    count : int
+        Number of workers.
+    size : WorkerSize
+        Capacity of each worker.
+    prefix : str, default=""
+        Beginning of the workers' names; the name of the pool if empty.
+    failure_domains : int, default=3
+        Number of failure domains.
+    fencing : bool, default=True
+        Whether the workers' backend servers refuse orders of an older epoch.
     """
     for index in range(count):
         domain_index = index % failure_domains
--- a/src/fuchsiadale/standin/platform.py
+++ b/src/fuchsiadale/standin/platform.py
@@ -26,9 +26,9 @@
 )
 
 LOST_REPLY_DELAY_S = 60.0
-"""Seconds before a transaction of unknown outcome is answered.
+"""Seconds before the server replies to a transaction whose reply is to be lost.
 
-The delay is longer than clients wait, so that they see no reply.
+The delay is longer than clients wait.
 """
 MAX_OBJECT_BYTES = 64 << 20
 """Size limit of request bodies, thus also of objects, in bytes."""
--- a/src/fuchsiadale/standin/table.py
+++ b/src/fuchsiadale/standin/table.py
@@ -54,7 +54,7 @@
 class PlatformCounts:
     """Numbers of calls that the platform has served, and of rows read and written.
 
-    Calls that the platform refuses because of a fault are not counted.
+    Calls to a service that is down and deletions of objects are not counted.
 
     Attributes
     ----------
@@ -63,7 +63,8 @@
     rows_read : int
         Rows returned by scans, and one for each read of a single row.
     transactions : int
-        Transactions received, also those that conflict or are dropped.
+        Transactions received, including those that conflict or that the fault
+        `lost_calls` drops.
     rows_written : int
         Writes and deletions in committed transactions.
     object_puts, object_gets : int
@@ -104,7 +105,8 @@
     host_list_version : int
         Version of the host list; increases with every change.
     last_listing : HostListing or None
-        Listing returned last; it is returned again while the host list is frozen.
+        Complete listing made for the last fetch; it is used again while the host list
+        is frozen.
     """
 
     faults: PlatformFaults = field(factory=PlatformFaults)
@@ -162,7 +164,8 @@
     def list_hosts(self, known_version: int) -> HostListing:
         """Return the host list, without workers if its version is `known_version`.
 
-        While the host list is frozen, the last listing counts as its content.
+        While the host list is frozen, the last complete listing is used instead of the
+        present workers.
         """
         if not self.faults.hosts_frozen or self.last_listing is None:
             workers = tuple(self.workers[name] for name in sorted(self.workers))
@@ -221,6 +224,7 @@
         return Ok(Committed(version))
 
     async def _is_available(self) -> bool:
+        """Wait for the simulated delay; return whether the service takes the call."""
         if self._state.faults.table_delay_s > 0:
             await asyncio.sleep(self._state.faults.table_delay_s)
         return not self._state.faults.table_down
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -32,7 +32,7 @@
 from fuchsiadale.decision.work import AttemptEnd
 
 LEASE_CHECK_INTERVAL_S = 0.5
-"""Seconds between two checks whether the leases of the attempts have expired."""
+"""Seconds between checks of whether the task leases have expired."""
 
 
 @define
@@ -42,7 +42,7 @@
     Attributes
     ----------
     fails_every_task : bool
-        Whether every attempt that ends fails.
+        Whether every program that runs to its end reports a failure.
     refuses_starts : bool
         Whether starts are refused as on a worker without free capacity.
     leaving : bool
@@ -50,7 +50,8 @@
     drops_start_answers : int
         Number of the next start calls that are executed but get no reply.
     truncates_answers : int
-        Number of the next answers to report without their last byte.
+        Number of the next non-empty answers of programs that reports contain without
+        their last byte.
     """
 
     fails_every_task: bool = False
@@ -71,7 +72,8 @@
     started_s : float
         Reading of the worker's clock at the start, in seconds.
     ended_s : float or None
-        Reading of the worker's clock at the end, in seconds; None if it has not ended.
+        Reading of the worker's clock at the end, in seconds; the worker never records
+        None.
     """
 
     attempt_id: str
@@ -211,9 +213,11 @@
     async def heartbeat(
         self, order: HeartbeatOrder
     ) -> Result[ReportMessage, SessionRefusal]:
-        """Renew the session and report, at the latest after the hold time.
+        """Renew the session and return a report.
 
-        The report is delayed until an attempt has ended that the owner does not know.
+        The report waits until there is an end that the owner has not received, for at
+        most `order.hold_s` seconds. The order is refused if another owner has adopted
+        the worker meanwhile.
         """
         refusal = self._session.renew(order.epoch, order.echo_s, self._clock.now())
         if refusal is not None:
@@ -261,7 +265,7 @@
         self._runs.clear()
 
     def reboot(self) -> None:
-        """Cancel all attempts and forget their ends, as a reboot of the worker does."""
+        """Cancel all attempts, forget all kept ends and take a new boot id."""
         self.close()
         self._ends.clear()
         self._boot_id = uuid.uuid4().hex[:8]
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -145,7 +145,7 @@
         self._lease_tasks.append(loop.create_task(worker.enforce_leases()))
 
     def start_node(self, host: str) -> EntryNode:
-        """Start an entry node; each start makes it create other identifiers."""
+        """Start an entry node; each start gives its identifiers a new prefix."""
         self._start_count += 1
         node_faults = NetworkFaults()
         self.network_faults[host] = node_faults
@@ -198,7 +198,7 @@
         return self.clock.now() - started_s
 
     async def wait_until_ready(self) -> None:
-        """Wait until all nodes are ready and the partition's owner may act."""
+        """Wait until all nodes are ready and the owner of ``general.0`` may act."""
         await self.wait_until(
             lambda: (
                 all(node.is_ready for node in self.nodes.values())
--- a/tests/faulty_network.py
+++ b/tests/faulty_network.py
@@ -55,7 +55,7 @@
 """Seconds after which a call fails whose request or reply is lost."""
 
 NETWORK_DELAY_S = 0.001
-"""Seconds that each request takes."""
+"""Delay in seconds before each request to the table service, a worker or a peer."""
 
 
 @define
@@ -65,8 +65,8 @@
     Attributes
     ----------
     is_store_unreachable, is_host_list_unreachable : bool
-        Whether the table service and the object store, or the host list, are
-        unreachable.
+        Whether calls to the table service and reads of the object store fail. The
+        second attribute, for the host list, has no effect.
     unreachable_peers : set of str
         Hosts of the unreachable peers.
     unreachable_workers : set of str
@@ -90,12 +90,16 @@
         self._faults = faults
 
     async def _is_available(self) -> bool:
+        """Wait for the simulated delays; return whether the service takes the call."""
         await asyncio.sleep(NETWORK_DELAY_S)
         return not self._faults.is_store_unreachable and await super()._is_available()
 
 
 class FaultyObjectStore(MemoryObjectStore):
-    """Object store as seen by one node; reads fail while it is unreachable."""
+    """Object store as seen by one node.
+
+    While the store is unreachable, reads fail; writes and deletions still succeed.
+    """
 
     def __init__(self, state: PlatformState, faults: NetworkFaults) -> None:
         super().__init__(state)
@@ -147,6 +151,7 @@
         return await self._deliver_reply(Ok(None))
 
     async def _is_call_lost(self) -> bool:
+        """Wait for the simulated delay; return whether the request is lost."""
         await asyncio.sleep(NETWORK_DELAY_S)
         if self._worker.info.name in self._faults.unreachable_workers:
             await asyncio.sleep(LOST_CALL_DELAY_S)
@@ -183,7 +188,8 @@
 class FaultyPeer(Peer):
     """Client of a peer that calls its gRPC service directly, without a connection.
 
-    Requests and replies have the same message types as over gRPC.
+    Requests and replies have the same message types as over gRPC. Replies to `submit`
+    and `collect` are lost if the peer has become unreachable during the call.
     """
 
     def __init__(
@@ -262,7 +268,11 @@
     async def collect(
         self, own_member: Callable[[], str], deliver: Callable[[WorkView], None]
     ) -> None:
-        """Fetch the results for this member and deliver them, until cancelled."""
+        """Fetch the results addressed to `own_member()` from the peer, until cancelled.
+
+        Each result is passed to `deliver`. When the own member changes, results are
+        fetched from the first one on.
+        """
         member = own_member()
         through = 0
         while True:
@@ -308,7 +318,7 @@
 
 
 class FaultyPeerConnector(PeerConnector):
-    """Creates clients of the peers that one node can reach."""
+    """Creates one node's clients of its peers; calls to unreachable peers fail."""
 
     def __init__(self, find_node: Callable[[str], EntryNode | None]) -> None:
         self._find_node = find_node
@@ -321,6 +331,7 @@
 def _convert_report(
     result: Result[ReportMessage, SessionRefusal],
 ) -> Result[WorkerReport, CallFailure]:
+    """Return the validated report; any refusal counts as a stale epoch."""
     if isinstance(result, Err):
         return Err(CallFailure.STALE_EPOCH)
     report = validate_report(result.ok_value)
--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -19,9 +19,23 @@
 class GoldenSession:
     """Runs the steps of one session on a cluster and collects the replies.
 
-    A step calls one entry (``call``) and may save fields of the reply (``save``), waits
-    for a state of the cluster (``owner``, ``ready``, ``in_force``), or injects a
-    failure (``kill_owner``, ``faults``).
+    A step that calls an entry has the keys:
+
+    - ``call``: method and path; texts such as ``${name}`` stand for saved values
+    - ``entry``: index of the entry to call; 0 by default
+    - ``key``: key to send as a bearer token
+    - ``headers`` and ``body``: headers and body of the request
+    - ``until``: text; the call is first repeated until the reply contains it
+    - ``save``: fields of the reply to save, by the name to save them under
+    - ``show``: whether the body of the reply is part of the result; true by default
+
+    Any other step has one of the keys:
+
+    - ``kill_owner``: kills the entry that owns this partition
+    - ``owner``: waits until this partition has an owner that may act
+    - ``ready``: waits until every entry is ready
+    - ``in_force``: waits until all entries have applied the same configuration
+    - ``faults``: sets these faults of the stand-in platform
 
     Parameters
     ----------
@@ -108,9 +122,12 @@
             return [self._normalise(inner) for inner in value]
         if not isinstance(value, str):
             return value
-        text = WORK_ID_PATTERN.sub(lambda match: self._name_work_id(match[0]), value)
+        text = WORK_ID_PATTERN.sub(
+            lambda match: self._get_work_placeholder(match[0]), value
+        )
         return WORKER_PATTERN.sub(r"\1-<n>", text)
 
-    def _name_work_id(self, work_id: str) -> str:
+    def _get_work_placeholder(self, work_id: str) -> str:
+        """Return the placeholder of a work id, the same at each occurrence."""
         name = f"{work_id.rpartition('.')[0]}.<work {len(self._work_ids) + 1}>"
         return self._work_ids.setdefault(work_id, name)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,8 @@
-"""Sessions over real processes, compared with recorded replies in golden files."""
+"""Sessions over real processes, compared with recorded replies in golden files.
+
+If the environment variable ``FUCHSIADALE_RECORD`` is set, the golden files are
+overwritten with the replies, so that the tests pass.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Failures and planned stops of real processes, under a load of requests."""
+"""Paused processes, silent connections and rolling restarts, under load."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
             }
             entries = self._cluster.entries
             url = self._cluster.entry_url(entries[(number + count) % len(entries)])
-            # Like the load balancer of the platform, skips entries that are not ready.
+            # The platform's load balancer sends no requests to unready entries.
             if call_http("GET", f"{url}/readyz", timeout_s=5.0).status != 200:
                 continue
             path = "/v1/queues/proofs/requests"
@@ -85,8 +85,9 @@
         """Check replies against the runs that workers recorded; count the outcomes.
 
         No worker may have exceeded its capacity. A request with the outcome ``ran``
-        must have run exactly once, and one with ``not_run`` never. A request without
-        a reply may have run or not.
+        must have returned its payload and have run exactly once, and one with
+        ``not_run`` must not have run. Other outcomes and requests without a reply are
+        only counted.
         """
         recorded = cluster.fetch_observations("general")
         assert recorded["overfilled"] == []
@@ -124,7 +125,7 @@
     cluster.wait_for_owner("general.0")
 
 
-def test_requests_run_after_connections_to_workers_fall_silent(
+def test_requests_run_on_new_connections_after_open_ones_stop_replying(
     cluster: ProcessCluster,
 ) -> None:
     with RequestLoad(cluster, idempotent=False) as load:
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -73,7 +73,7 @@
 
 
 def wait_until(condition: Callable[[], bool], awaited: str) -> None:
-    """Wait for a condition, which holds once `awaited` is available.
+    """Wait until a condition holds; `awaited` names it in the error message.
 
     Raises
     ------
@@ -83,7 +83,7 @@
     deadline_s = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         if time.monotonic() > deadline_s:
-            raise AssertionError(f"{awaited} was not available before the timeout")
+            raise AssertionError(f"{awaited} did not appear before the timeout")
         time.sleep(POLL_INTERVAL_S)
 
 
@@ -189,7 +189,10 @@
             self.stop_process(name)
 
     def call_admin(self, method: str, path: str, body: object = None) -> HttpReply:
-        """Call the operators' interface of the first running entry that replies."""
+        """Call the operators' interface of the first running entry that replies.
+
+        The reply has status 0 if no entry replies.
+        """
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
         reply = HttpReply(0, None)
         for entry in self.entries:
@@ -237,7 +240,11 @@
         wait_until(lambda: len(fetch_versions()) == 1, "a common configuration")
 
     def fetch_observations(self, pool: str) -> Any:
-        """Return the runs that a pool's stand-in workers recorded, and their state."""
+        """Return what the stand-in workers of a pool recorded.
+
+        These are the ended runs, the names of the workers that exceeded their capacity
+        (``overfilled``) and the ids of the running attempts.
+        """
         return call_http("GET", f"{self.workers_url(pool)}/observations").body
 
     def _spawn(self, name: str, *arguments: object) -> None:
