--- a/src/fuchsiadale/cli/explain.py
+++ b/src/fuchsiadale/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that tells a job's story."""
+"""Command that prints the history of a job."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from fuchsiadale.cell.explain import story_of
 from fuchsiadale.cli.exits import ExitCode
-from fuchsiadale.cli.output import fail
+from fuchsiadale.cli.output import exit_with_error
 
 
 @click.command()
 @click.argument("job_id")
 @click.argument("logs", nargs=-1, type=click.File("r"))
 def explain(job_id: str, logs: tuple[TextIO, ...]) -> None:
-    """Print what happened to JOB_ID, from the LOGS of a cell's processes.
+    """Print the history of job JOB_ID from LOGS, log files of scheduler processes.
 
-    Reads standard input if no log is named.
+    Reads standard input if no log is given.
     """
     lines = [line for log in logs or (sys.stdin,) for line in log]
-    story = story_of(job_id, lines)
-    if not story:
-        fail(f"no line names job {job_id}", ExitCode.REFUSED)
-    for line in story:
+    history = story_of(job_id, lines)
+    if not history:
+        exit_with_error(f"no log line names job {job_id}", ExitCode.REFUSED)
+    for line in history:
         click.echo(str(line))
--- a/src/fuchsiadale/cli/output.py
+++ b/src/fuchsiadale/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: results on stdout, messages on stderr."""
+"""Output of commands: results on stdout, messages on stderr."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     type=click.Choice(["text", "json"]),
     default="text",
     show_default=True,
-    help="How results are printed.",
+    help="Format of the printed result.",
 )
 
 
@@ -27,8 +27,8 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print a result as a table with aligned columns."""
-    texts = [[_text(cell) for cell in row] for row in rows]
+    """Print rows as a table with aligned columns."""
+    texts = [[_format_cell(cell) for cell in row] for row in rows]
     widths = [
         max([len(name), *(len(row[index]) for row in texts)])
         for index, name in enumerate(columns)
@@ -38,26 +38,26 @@
         click.echo("  ".join(cells).rstrip())
 
 
-def fail(message: str, code: ExitCode) -> NoReturn:
-    """Print a message and end with an exit code."""
+def exit_with_error(message: str, code: ExitCode) -> NoReturn:
+    """Print a message on stderr and exit with a code."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
-def require_ok(reply: Reply) -> Any:
-    """Return the body of a granted call, or end with what went wrong."""
+def get_body_or_exit(reply: Reply) -> Any:
+    """Return the body of a successful reply, or print the error and exit."""
     if reply.is_ok:
         return reply.body
     if reply.status == 0:
-        fail(str(reply.body), ExitCode.UNREACHABLE)
+        exit_with_error(str(reply.body), ExitCode.UNREACHABLE)
     body = reply.body if isinstance(reply.body, dict) else {}
     kind = body.get("error", f"status {reply.status}")
     message = body.get("message", "")
     code = ExitCode.INVALID if kind == "config_invalid" else ExitCode.REFUSED
-    fail(f"{kind}: {message}", code)
+    exit_with_error(f"{kind}: {message}", code)
 
 
-def _text(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     if cell is None:
         return "-"
     if isinstance(cell, float):
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 from attrs import frozen
 
-from fuchsiadale.config.folder import list_files
-from fuchsiadale.config.located import SourceFile
+from fuchsiadale.config.documents import SourceFile
+from fuchsiadale.config.folder import read_yaml_files
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.entry.daemon import EntryDaemon
 from fuchsiadale.loop_clock import LoopClock
@@ -117,7 +117,7 @@
     def list_configuration_files(self) -> list[SourceFile]:
         """Return the configuration files to apply."""
         if self._options.folder is not None:
-            return list_files(self._options.folder)
+            return read_yaml_files(self._options.folder)
         return DEFAULT_FILES
 
     async def serve(self, app: web.Application) -> str:
--- /dev/null
+++ b/tests/soak/clients.py
@@ -0,0 +1,174 @@
+"""Clients that submit jobs, retry, request job states and cancel jobs."""
+
+from __future__ import annotations
+
+import asyncio
+from random import Random
+
+import aiohttp
+import orjson
+from attrs import define, field
+
+from tests.soak.nodes import Node
+from tests.soak.observer import Observer, TaskSpecification
+
+ROUTE_HOST, ROUTE_PREFIX, API_KEY = "jobs.example", "/jobs/", "key-1"
+SUBMIT_ATTEMPTS = 4
+CALL_TIMEOUT_S = 3.0
+RETRY_DELAY_S = 0.3
+STATE_CHECK_DELAY_S = 0.7
+CANCEL_PROBABILITY = 0.08
+REFUSAL_STATUSES = frozenset({429, 503})
+"""HTTP statuses with which a node refuses a submission without storing the job."""
+
+
+@define(eq=False)
+class JobClients:
+    """Submits random jobs to random nodes on behalf of many clients.
+
+    Attributes
+    ----------
+    nodes : list of Node
+        Processes that the clients call.
+    observer : Observer
+        Receives the tasks of each job, the refused jobs and the acknowledged cancels,
+        and checks the job states that the clients receive.
+    random : Random
+        Source of the jobs, of the clients' actions and of the times between them.
+    accepted_jobs : dict of str to str
+        What the client of each accepted job knows of it, by job id: "accepted",
+        "cancelled" once a cancel was acknowledged, or "perhaps cancelled" if a cancel
+        was sent without an acknowledgement.
+    interrupted_calls : list of str
+        Calls that timed out, or whose connection failed after it was established and
+        before the whole answer arrived, with the error of each. Connections that
+        could not be established are not listed.
+    """
+
+    nodes: list[Node]
+    observer: Observer
+    random: Random
+    accepted_jobs: dict[str, str] = field(factory=dict)
+    interrupted_calls: list[str] = field(factory=list)
+
+    async def submit_until(self, stop_event: asyncio.Event, jobs_per_s: float) -> None:
+        """Start clients at random times; each submits one job.
+
+        Returns once `stop_event` is set and all clients have finished.
+
+        Parameters
+        ----------
+        stop_event : asyncio.Event
+            Ends the start of new clients.
+        jobs_per_s : float
+            Mean number of clients that start per second.
+        """
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
+        async with aiohttp.ClientSession(timeout=timeout) as session:
+            client_tasks: set[asyncio.Task[None]] = set()
+            while not stop_event.is_set():
+                client_tasks.add(asyncio.create_task(self._run_client(session)))
+                await asyncio.sleep(self.random.expovariate(jobs_per_s))
+            await asyncio.gather(*client_tasks)
+
+    async def fetch_state(self, job_id: str) -> str | None:
+        """Return the state of a job, or None if the call does not succeed."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
+        async with aiohttp.ClientSession(timeout=timeout) as session:
+            status, body = await self._call(session, "GET", job_id, None)
+        return str(body.get("state")) if status == 200 else None
+
+    async def _run_client(self, session: aiohttp.ClientSession) -> None:
+        job_id = f"{self.random.getrandbits(64):016x}"
+        body = self._make_job_body(job_id)
+        if not await self._submit(session, job_id, body):
+            return
+        self.accepted_jobs[job_id] = "accepted"
+        if self.random.random() < CANCEL_PROBABILITY:
+            await asyncio.sleep(self.random.uniform(0.0, 1.0))
+            await self._cancel(session, job_id)
+        elif self.random.random() < 0.3:
+            await asyncio.sleep(STATE_CHECK_DELAY_S)
+            status, reply_body = await self._call(session, "GET", job_id, None)
+            if status == 200:
+                self.observer.check_reported_state(job_id, str(reply_body.get("state")))
+
+    async def _submit(
+        self, session: aiohttp.ClientSession, job_id: str, body: dict[str, object]
+    ) -> bool:
+        statuses = []
+        for _ in range(SUBMIT_ATTEMPTS):
+            status, _ = await self._call(session, "POST", job_id, body)
+            statuses.append(status)
+            if status == 200:
+                return True
+            await asyncio.sleep(RETRY_DELAY_S)
+        if all(status in REFUSAL_STATUSES for status in statuses):
+            self.observer.refused_jobs.add(job_id)
+        return False
+
+    async def _cancel(self, session: aiohttp.ClientSession, job_id: str) -> None:
+        status, _ = await self._call(session, "DELETE", job_id, None)
+        if status == 200:
+            now_s = asyncio.get_running_loop().time()
+            self.observer.cancel_times_s[job_id] = now_s
+            self.accepted_jobs[job_id] = "cancelled"
+        else:
+            # The cancel may be stored although no acknowledgement arrived.
+            self.accepted_jobs[job_id] = "perhaps cancelled"
+
+    async def _call(
+        self,
+        session: aiohttp.ClientSession,
+        method: str,
+        job_id: str,
+        body: dict[str, object] | None,
+    ) -> tuple[int, dict[str, object]]:
+        """Return the HTTP status and the JSON body of the answer to a call.
+
+        Without a complete answer, the status is 0, which does not count as a refusal,
+        and the body is empty.
+        """
+        node = self.random.choice(self.nodes)
+        headers = {"Host": ROUTE_HOST, "X-Fuchsiadale-Credential": API_KEY}
+        data = None if body is None else orjson.dumps(body)
+        try:
+            async with session.request(
+                method, node.url + ROUTE_PREFIX + job_id, data=data, headers=headers
+            ) as response:
+                content = await response.read()
+                reply_body = orjson.loads(content) if content else {}
+                return response.status, reply_body
+        except aiohttp.ClientConnectorError:
+            return 0, {}
+        except (TimeoutError, aiohttp.ClientError, OSError) as error:
+            self.interrupted_calls.append(
+                f"{method} {job_id} at {node.name}: {error!r}"
+            )
+            return 0, {}
+
+    def _make_job_body(self, job_id: str) -> dict[str, object]:
+        steps = []
+        predecessors: tuple[str, ...] = ()
+        for step_index in range(self.random.randint(1, 2)):
+            count = self.random.randint(1, 4)
+            cpu_millis = self.random.choice((500, 1000, 2000))
+            task_names = tuple(
+                f"{job_id}.0.{step_index}.{index}" for index in range(count)
+            )
+            for task_name in task_names:
+                self.observer.specifications[task_name] = TaskSpecification(
+                    cpu_millis, predecessors
+                )
+            step_body: dict[str, object] = {
+                "count": count,
+                "cpu": cpu_millis,
+                "mem_mb": 100,
+                "estimated_ms": 400,
+            }
+            if step_index:
+                step_body["after"] = [step_index - 1]
+            steps.append(step_body)
+            predecessors = task_names
+        duration_s = round(self.random.uniform(0.1, 1.0), 2)
+        return {"spec": orjson.dumps({"seconds": duration_s}).decode(), "steps": steps}
--- a/tests/soak/observer.py
+++ b/tests/soak/observer.py
@@ -1,4 +1,4 @@
-"""What workers and callers saw, and the promises that it has to keep."""
+"""Records what workers and clients observe, and checks it against guarantees."""
 
 from __future__ import annotations
 
@@ -6,74 +6,150 @@
 
 
 @frozen
-class TaskTerms:
-    """What a submitted task takes and waits for."""
+class TaskSpecification:
+    """Requirements of a submitted task.
+
+    Attributes
+    ----------
+    cpu_millis : int
+        CPU that the task requires, in thousandths of a core.
+    predecessors : tuple of str
+        Names of the tasks that must succeed before the task may start.
+    """
 
     cpu_millis: int
-    after: tuple[str, ...]
+    predecessors: tuple[str, ...]
 
 
 @define
 class Observer:
-    """Collects what breaks a promise; nothing is forgotten."""
+    """Records the course of all jobs and collects violated guarantees.
+
+    Attributes
+    ----------
+    specifications : dict of str to TaskSpecification
+        Requirements of each submitted task, by task name.
+    worker_ids_by_task : dict of str to set of str
+        Ids of the workers that run each task, by task name.
+    started_jobs : set of str
+        Ids of the jobs of which at least one task has started.
+    succeeded_tasks : set of str
+        Names of the tasks that have succeeded.
+    acknowledged_tasks : set of str
+        Names of the tasks whose success the scheduler has acknowledged to the worker.
+    refused_jobs : set of str
+        Ids of the jobs for which each attempt to submit was answered with a refusal,
+        so that the job must not run.
+    cancel_times_s : dict of str to float
+        Event loop time at which a cancel was acknowledged, in seconds, by job id.
+    problems : list of str
+        A sentence on each violation so far.
+    start_count : int
+        Number of task starts that workers have recorded, allowed or not.
+    """
 
-    terms: dict[str, TaskTerms] = field(factory=dict)
-    running: dict[str, set[str]] = field(factory=dict)
-    started: set[str] = field(factory=set)
-    done: set[str] = field(factory=set)
-    acknowledged: set[str] = field(factory=set)
+    specifications: dict[str, TaskSpecification] = field(factory=dict)
+    worker_ids_by_task: dict[str, set[str]] = field(factory=dict)
+    started_jobs: set[str] = field(factory=set)
+    succeeded_tasks: set[str] = field(factory=set)
+    acknowledged_tasks: set[str] = field(factory=set)
     refused_jobs: set[str] = field(factory=set)
-    cancelled_s: dict[str, float] = field(factory=dict)
+    cancel_times_s: dict[str, float] = field(factory=dict)
     problems: list[str] = field(factory=list)
-    starts: int = 0
+    start_count: int = 0
 
-    def note_start(
-        self, task: str, worker: str, used_millis: int, room: int, now_s: float
+    def record_start(
+        self,
+        task_name: str,
+        worker_id: str,
+        used_cpu_millis: int,
+        capacity_cpu_millis: int,
+        now_s: float,
     ) -> None:
-        """Check a start; `used_millis` counts what the worker already runs."""
-        self.starts += 1
-        job = task.partition(".")[0]
-        terms = self.terms.get(task)
-        if terms is None:
-            self._report(f"{task} was started and nobody asked for it")
+        """Record the start of a task on a worker and check that it is allowed.
+
+        Parameters
+        ----------
+        task_name : str
+            Name of the task.
+        worker_id : str
+            Worker that starts the task.
+        used_cpu_millis, capacity_cpu_millis : int
+            CPU that the worker's other runs use and CPU that the worker has, in
+            thousandths of a core.
+        now_s : float
+            Event loop time of the start, in seconds.
+        """
+        self.start_count += 1
+        job_id = task_name.partition(".")[0]
+        specification = self.specifications.get(task_name)
+        if specification is None:
+            self._add_problem(f"{task_name} was started but never submitted")
             return
-        places = self.running.setdefault(task, set())
-        if places:
-            self._report(f"{task} runs on {worker} and on {sorted(places)}")
-        if task in self.acknowledged:
-            self._report(f"{task} was started again after its end was acknowledged")
-        if used_millis + terms.cpu_millis > room:
-            self._report(f"{worker} has {used_millis} and takes {terms.cpu_millis}")
-        missing = [before for before in terms.after if before not in self.done]
-        if missing:
-            self._report(f"{task} was started before {missing}")
-        ended_s = self.cancelled_s.get(job)
-        if ended_s is not None and now_s - ended_s > CANCEL_S:
-            self._report(f"{task} was started {now_s - ended_s:.1f} s after its cancel")
-        places.add(worker)
-        self.started.add(job)
-
-    def note_end(self, task: str, worker: str, is_done: bool) -> None:
-        """Note that a run has ended, however it did."""
-        self.running.get(task, set()).discard(worker)
-        if is_done:
-            self.done.add(task)
-
-    def note_state(self, job: str, state: str) -> None:
-        """Check what a caller was told of a job."""
-        tasks = [task for task in self.terms if task.startswith(f"{job}.")]
-        if state == "completed" and not self.done.issuperset(tasks):
-            self._report(f"{job} was told as completed and is not")
-
-    def check_refused(self) -> None:
-        """Check that what was refused did not run."""
-        for job in self.refused_jobs & self.started:
-            self._report(f"{job} was refused by every try and ran")
-
-    def _report(self, problem: str) -> None:
+        worker_ids = self.worker_ids_by_task.setdefault(task_name, set())
+        if worker_ids:
+            self._add_problem(
+                f"{task_name} was started on {worker_id} and still runs on "
+                f"{sorted(worker_ids)}"
+            )
+        if task_name in self.acknowledged_tasks:
+            self._add_problem(
+                f"{task_name} was started again after its success was acknowledged"
+            )
+        if used_cpu_millis + specification.cpu_millis > capacity_cpu_millis:
+            self._add_problem(
+                f"{worker_id} exceeds its CPU capacity (amounts in millicores): in use "
+                f"{used_cpu_millis}, added {specification.cpu_millis}"
+            )
+        unsucceeded_predecessors = [
+            predecessor
+            for predecessor in specification.predecessors
+            if predecessor not in self.succeeded_tasks
+        ]
+        if unsucceeded_predecessors:
+            self._add_problem(
+                f"{task_name} was started before its predecessors succeeded: "
+                f"{unsucceeded_predecessors}"
+            )
+        cancel_time_s = self.cancel_times_s.get(job_id)
+        if cancel_time_s is not None and now_s - cancel_time_s > CANCEL_GRACE_S:
+            self._add_problem(
+                f"{task_name} was started {now_s - cancel_time_s:.1f} s after the "
+                "cancel of its job was acknowledged"
+            )
+        worker_ids.add(worker_id)
+        self.started_jobs.add(job_id)
+
+    def record_end(self, task_name: str, worker_id: str, has_succeeded: bool) -> None:
+        """Record the end of a run of a task, successful or not."""
+        self.worker_ids_by_task.get(task_name, set()).discard(worker_id)
+        if has_succeeded:
+            self.succeeded_tasks.add(task_name)
+
+    def check_reported_state(self, job_id: str, state: str) -> None:
+        """Check that all tasks of a job reported as completed have succeeded."""
+        task_names = [
+            task_name
+            for task_name in self.specifications
+            if task_name.startswith(f"{job_id}.")
+        ]
+        if state == "completed" and not self.succeeded_tasks.issuperset(task_names):
+            self._add_problem(
+                f"{job_id} was reported as completed before all its tasks succeeded"
+            )
+
+    def check_refused_jobs(self) -> None:
+        """Check that no task of a refused job has started."""
+        for job_id in self.refused_jobs & self.started_jobs:
+            self._add_problem(
+                f"{job_id} was started although every submission was refused"
+            )
+
+    def _add_problem(self, problem: str) -> None:
         self.problems.append(problem)
 
 
-CANCEL_S = 6.0
-"""Seconds after an acknowledged cancel in which a start is allowed: 3 s in calm
-times by contract, and the 3 s after a disturbance in which it does not hold."""
+CANCEL_GRACE_S = 6.0
+"""Seconds after an acknowledged cancel during which a task may still start: the sum
+of the 3 s after which a cancel must take effect in fault-free operation by contract,
+and of the 3 s after a fault during which that guarantee does not hold."""
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, drops, silences and resets connections."""
+"""A TCP proxy that delays or drops data and refuses or aborts connections."""
 
 from __future__ import annotations
 
@@ -9,8 +9,22 @@
 CHUNK_BYTES = 1 << 16
 
 
-class Mode(Enum):
-    """What a proxy does with what it is given."""
+class ProxyMode(Enum):
+    """How a proxy treats connections and data.
+
+    Attributes
+    ----------
+    OPEN
+        Forward data in both directions.
+    REFUSE
+        Abort new connections; existing ones are served as in `OPEN`.
+    SILENT
+        Drop data in both directions.
+    DROP_CALLS
+        Drop data from the client to the target.
+    DROP_ANSWERS
+        Drop data from the target to the client.
+    """
 
     OPEN = "open"
     REFUSE = "refuse"
@@ -20,80 +34,97 @@
 
 
 class Proxy:
-    """Stands between callers and one address.
+    """Forwards TCP connections of clients to one target address.
 
-    A connection that lost bytes stays silent for good, also after the proxy is open
-    again, as if something between its ends had forgotten it.
+    Once data in one direction of a connection is dropped, all later data in that
+    direction is dropped too, even after the mode is `OPEN` again, as if a device on
+    the network path had lost the connection's state. The close of such a direction is
+    not forwarded either, so that the receiver sees an open, silent connection.
 
     Parameters
     ----------
     host : str
-        Where it listens, and where its target listens.
+        Address on which both the proxy and its target listen.
     target_port : int
-        The target's port.
+        Port on which the target listens.
+
+    Attributes
+    ----------
+    mode : ProxyMode
+        How connections and data are treated; may change at any time.
+    delay_s : float
+        Delay of each chunk of forwarded data, in seconds.
     """
 
     def __init__(self, host: str, target_port: int) -> None:
-        self.mode = Mode.OPEN
+        self.mode = ProxyMode.OPEN
         self.delay_s = 0.0
         self._host = host
         self._target_port = target_port
-        self._connections: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen; return the port."""
-        self._server = await asyncio.start_server(self._serve, self._host, 0)
+        """Listen on a free port and return the port."""
+        self._server = await asyncio.start_server(
+            self._handle_connection, self._host, 0
+        )
         return int(self._server.sockets[0].getsockname()[1])
 
     def reset(self) -> None:
-        """Reset every connection."""
-        for writer in list(self._connections):
+        """Abort every connection; keep listening."""
+        for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Stop listening and end every connection."""
+        """Stop listening and abort every connection."""
         self._server.close()
         self.reset()
         for task in list(self._tasks):
             task.cancel()
 
-    async def _serve(
+    async def _handle_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.mode is Mode.REFUSE:
+        if self.mode is ProxyMode.REFUSE:
             writer.transport.abort()
             return
         try:
-            target = await asyncio.open_connection(self._host, self._target_port)
+            target_streams = await asyncio.open_connection(
+                self._host, self._target_port
+            )
         except OSError:
             writer.transport.abort()
             return
-        target_reader, target_writer = target
-        self._connections |= {writer, target_writer}
-        calls = self._pump(reader, target_writer, {Mode.SILENT, Mode.DROP_CALLS})
-        answers = self._pump(target_reader, writer, {Mode.SILENT, Mode.DROP_ANSWERS})
-        for pump in (calls, answers):
-            task = asyncio.get_running_loop().create_task(pump)
+        target_reader, target_writer = target_streams
+        self._writers |= {writer, target_writer}
+        request_forwarder = self._forward(
+            reader, target_writer, {ProxyMode.SILENT, ProxyMode.DROP_CALLS}
+        )
+        reply_forwarder = self._forward(
+            target_reader, writer, {ProxyMode.SILENT, ProxyMode.DROP_ANSWERS}
+        )
+        for forwarder in (request_forwarder, reply_forwarder):
+            task = asyncio.get_running_loop().create_task(forwarder)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        dropping: set[Mode],
+        dropping_modes: set[ProxyMode],
     ) -> None:
-        is_dead = False
+        has_dropped_data = False
         with suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                is_dead = is_dead or self.mode in dropping
-                if is_dead:
+                has_dropped_data = has_dropped_data or self.mode in dropping_modes
+                if has_dropped_data:
                     continue
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
                 writer.write(data)
                 await writer.drain()
-        if not is_dead:
+        if not has_dropped_data:
             writer.close()
-        self._connections.discard(writer)
+        self._writers.discard(writer)
