--- a/src/fuchsiadale/entry/journal.py
+++ b/src/fuchsiadale/entry/journal.py
@@ -1,4 +1,4 @@
-"""The journal of one member: group commits of the events of its partitions."""
+"""The journal of a member, which records events of its partitions by group commit."""
 
 from __future__ import annotations
 
@@ -33,37 +33,39 @@
     Write,
 )
 
-GROUP_COMMIT_S = 0.025
-FAILED_COMMIT_DELAY_S = 0.25
+# Delay after the first event of a batch, in which further events join the batch.
+GROUP_COMMIT_DELAY_S = 0.025
+# Delay before a failed write of a batch is retried.
+COMMIT_RETRY_DELAY_S = 0.25
 
 Callback = Callable[[], None]
 
 
 @define(eq=False)
-class Ticket:
-    """Stands for events that are to be recorded.
+class AppendHandle:
+    """Tracks whether events that were appended to the journal are recorded.
 
     Attributes
     ----------
-    recorded : bool
-        Whether they are on record.
+    is_recorded : bool
+        Whether the events are recorded.
     callbacks : list of callable
-        Called once they are.
+        Called once the events are recorded.
     """
 
-    recorded: bool = False
+    is_recorded: bool = False
     callbacks: list[Callback] = field(factory=list)
 
-    def when_recorded(self, callback: Callback) -> None:
-        """Call back once the events are on record, at once if they are."""
-        if self.recorded:
+    def call_when_recorded(self, callback: Callback) -> None:
+        """Call `callback` once the events are recorded, or now if they already are."""
+        if self.is_recorded:
             callback()
         else:
             self.callbacks.append(callback)
 
-    def complete(self) -> None:
-        """Note that the events are on record."""
-        self.recorded = True
+    def mark_recorded(self) -> None:
+        """Mark the events as recorded and call the callbacks."""
+        self.is_recorded = True
         for callback in self.callbacks:
             callback()
         self.callbacks.clear()
@@ -71,28 +73,43 @@
 
 @define(eq=False)
 class _Batch:
+    """Events that are written to the journal in one row.
+
+    Attributes
+    ----------
+    entries : list of JournalEntry
+        The events by partition.
+    append_handle : AppendHandle
+        Tracks whether the events are recorded.
+    is_in_flight : bool
+        Whether a write of the batch is in progress.
+    may_be_recorded : bool
+        Whether the outcome of a write is unknown.
+    """
+
     entries: list[JournalEntry] = field(factory=list)
-    ticket: Ticket = field(factory=Ticket)
-    in_flight: bool = False
-    uncertain: bool = False
+    append_handle: AppendHandle = field(factory=AppendHandle)
+    is_in_flight: bool = False
+    may_be_recorded: bool = False
 
 
 class Journal:
-    """Records events in one row every `GROUP_COMMIT_S` seconds at most.
+    """Records events in groups, at most one row every `GROUP_COMMIT_DELAY_S` seconds.
 
-    A row is written only while the member's ``alive`` row is in place, so a member
-    that was declared dead records nothing more.
+    Each write requires that the liveness row of the member, whose key begins with
+    ``alive/``, is unchanged. A member that was declared dead therefore records nothing
+    more.
 
     Parameters
     ----------
     table : TableService
-        The table.
+        The table that entry hosts share.
     identity : Identity
-        The member that writes.
+        Identity of the member that writes the journal.
     counters : Counters
-        Takes the counts.
-    on_lost : callable
-        Called when the member turns out to have been declared dead.
+        Counts recorded rows and retries.
+    on_declared_dead : callable
+        Called when a write shows that the member was declared dead.
     """
 
     def __init__(
@@ -100,121 +117,162 @@
         table: TableService,
         identity: Identity,
         counters: Counters,
-        on_lost: Callback,
+        on_declared_dead: Callback,
     ) -> None:
         self._table = table
         self._identity = identity
         self._counters = counters
-        self._on_lost = on_lost
+        self._on_declared_dead = on_declared_dead
         self._next_number = 1
-        self._batch = _Batch()
-        self._flushing: _Batch | None = None
-        self._filled = asyncio.Event()
-        self._failing = False
+        self._open_batch = _Batch()
+        self._flushing_batch: _Batch | None = None
+        self._has_new_events = asyncio.Event()
+        self._is_failing = False
 
     @property
     def next_number(self) -> int:
-        """The number that the next row will have."""
+        """Number of the next row to be written."""
         return self._next_number
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last attempt to record failed."""
-        return self._failing
+        """Whether the last write of a batch failed."""
+        return self._is_failing
 
     @property
     def is_idle(self) -> bool:
-        """Whether everything handed in is on record."""
-        return self._flushing is None and not self._batch.entries
-
-    def append(self, partition: str, events: list[JournalEvent]) -> Ticket:
-        """Hand in events of a partition; those without any wait for earlier ones."""
+        """Whether all appended events are recorded."""
+        return self._flushing_batch is None and not self._open_batch.entries
+
+    def append(self, partition: str, events: list[JournalEvent]) -> AppendHandle:
+        """Append events of a partition to the journal.
+
+        Parameters
+        ----------
+        partition : str
+            Name of the partition.
+        events : list of JournalEvent
+            The events in order; if empty, nothing is appended.
+
+        Returns
+        -------
+        AppendHandle
+            Reports when these events and all those appended before are recorded. The
+            callbacks of events that are discarded for a new member are not called.
+        """
         if events:
-            self._batch.entries.append(JournalEntry(partition, events))
-            self._filled.set()
-        elif not self._batch.entries:
-            if self._flushing is not None:
-                return self._flushing.ticket
-            done = Ticket()
-            done.complete()
-            return done
-        return self._batch.ticket
+            self._open_batch.entries.append(JournalEntry(partition, events))
+            self._has_new_events.set()
+        elif not self._open_batch.entries:
+            if self._flushing_batch is not None:
+                return self._flushing_batch.append_handle
+            recorded_handle = AppendHandle()
+            recorded_handle.mark_recorded()
+            return recorded_handle
+        return self._open_batch.append_handle
 
     def withdraw(self, work_id: str) -> bool:
-        """Take back the events of a work; False if they may be on record."""
-        for batch in (self._flushing, self._batch):
+        """Remove the events of a job or request that are not recorded yet.
+
+        Parameters
+        ----------
+        work_id : str
+            Id of the job or request.
+
+        Returns
+        -------
+        bool
+            Whether the events were removed or there are none; False if the events may
+            be recorded already.
+        """
+        for batch in (self._flushing_batch, self._open_batch):
             if batch is None:
                 continue
-            if not any(_concerns(batch, work_id)):
+            if not any(_are_events_of_work(batch, work_id)):
                 continue
-            if batch.in_flight or batch.uncertain:
+            if batch.is_in_flight or batch.may_be_recorded:
                 return False
             for entry in batch.entries:
                 entry.events[:] = [
-                    event for event in entry.events if _work_of(event) != work_id
+                    event for event in entry.events if _event_work_id(event) != work_id
                 ]
         return True
 
-    def restart(self) -> None:
-        """Begin the journal of a new member; what was not recorded is dropped."""
+    def reset_for_new_member(self) -> None:
+        """Start the journal of a new member and discard events not recorded yet.
+
+        The callbacks of the discarded events are not called, unless a write in progress
+        still succeeds.
+        """
         self._next_number = 1
-        self._batch = _Batch()
-        self._flushing = None
-        self._failing = False
+        self._open_batch = _Batch()
+        self._flushing_batch = None
+        self._is_failing = False
 
     async def run(self) -> None:
-        """Record what is handed in, for ever."""
+        """Record appended events until cancelled."""
         while True:
-            await self._filled.wait()
-            await asyncio.sleep(GROUP_COMMIT_S)
-            self._filled.clear()
+            await self._has_new_events.wait()
+            await asyncio.sleep(GROUP_COMMIT_DELAY_S)
+            self._has_new_events.clear()
             await self._flush()
 
     async def _flush(self) -> None:
-        """Record the present batch, trying until it surely is on record."""
-        batch = self._batch
+        """Write the open batch and retry until it is certainly recorded."""
+        batch = self._open_batch
         if not batch.entries:
             return
-        self._batch = _Batch()
-        self._flushing = batch
-        while self._flushing is batch:
-            if await self._write(batch):
-                self._flushing = None
-                self._failing = False
-                batch.ticket.complete()
+        self._open_batch = _Batch()
+        self._flushing_batch = batch
+        while self._flushing_batch is batch:
+            if await self._write_batch(batch):
+                self._flushing_batch = None
+                self._is_failing = False
+                batch.append_handle.mark_recorded()
                 return
-            if self._flushing is batch:
-                self._failing = True
-                await asyncio.sleep(FAILED_COMMIT_DELAY_S)
+            if self._flushing_batch is batch:
+                self._is_failing = True
+                await asyncio.sleep(COMMIT_RETRY_DELAY_S)
 
-    async def _write(self, batch: _Batch) -> bool:
+    async def _write_batch(self, batch: _Batch) -> bool:
+        """Try once to write a batch and return whether it is certainly recorded."""
         member = self._identity.member
-        alive_version = self._identity.alive_version
+        liveness_version = self._identity.liveness_version
         key = journal_key(member, self._next_number)
         transaction = Transaction(
             writes=(Write(key, encode(JournalRow(batch.entries))),),
             conditions=(
                 Condition(key, ABSENT_VERSION),
-                Condition(liveness_key(member), alive_version),
+                Condition(liveness_key(member), liveness_version),
             ),
             nonce=f"{member}/{self._next_number}",
         )
-        batch.in_flight = True
+        batch.is_in_flight = True
         outcome = await self._table.transact(transaction)
-        batch.in_flight = False
+        batch.is_in_flight = False
         if isinstance(outcome, Ok):
             self._next_number += 1
             self._counters.add("journal.recorded")
             return True
         self._counters.add(f"journal.retried.{outcome.err_value.value}")
         if outcome.err_value is TableFailure.UNKNOWN:
-            batch.uncertain = True
+            batch.may_be_recorded = True
         if outcome.err_value is not TableFailure.CONFLICT:
             return False
         return await self._resolve_conflict(key, transaction.nonce)
 
     async def _resolve_conflict(self, key: str, nonce: str) -> bool:
-        """Tell a row written after all from a member that was declared dead."""
+        """Find out why the conditions of a write did not hold.
+
+        Either an earlier attempt with the same nonce has written the row, or this
+        member was declared dead. In the latter case, the journal is reset, which
+        discards all unrecorded events, and the callback `on_declared_dead` is called.
+
+        Returns
+        -------
+        bool
+            Whether the row is recorded; also False if the table does not answer.
+        """
         found = await self._table.read(key)
         if isinstance(found, Err):
             return False
@@ -222,12 +280,13 @@
         if row is not None and row.nonce == nonce:
             self._next_number += 1
             return True
-        self.restart()
-        self._on_lost()
+        self.reset_for_new_member()
+        self._on_declared_dead()
         return False
 
 
-def _work_of(event: JournalEvent) -> str:
+def _event_work_id(event: JournalEvent) -> str:
+    """Return the id of the work that an event belongs to."""
     match event:
         case AcceptedEvent(submission=submission):
             return submission.work_id
@@ -236,7 +295,10 @@
     return event.work_id
 
 
-def _concerns(batch: _Batch, work_id: str) -> list[bool]:
+def _are_events_of_work(batch: _Batch, work_id: str) -> list[bool]:
+    """Return for each event of a batch whether it belongs to the given work."""
     return [
-        _work_of(event) == work_id for entry in batch.entries for event in entry.events
+        _event_work_id(event) == work_id
+        for entry in batch.entries
+        for event in entry.events
     ]
--- a/src/fuchsiadale/entry/membership_driver.py
+++ b/src/fuchsiadale/entry/membership_driver.py
@@ -1,4 +1,4 @@
-"""Renews this member's lease and watches the others'."""
+"""Renews the lease of this member and detects expired leases of other members."""
 
 from __future__ import annotations
 
@@ -31,27 +31,36 @@
     transact_with_readback,
 )
 
-Renewed = Callable[[float], None]
-Lost = Callable[[], Awaitable[None]]
+RenewalCallback = Callable[[float], None]
+DeclaredDeadCallback = Callable[[], Awaitable[None]]
 
 
 class MembershipDriver:
-    """Keeps this process a member and declares expired members dead.
+    """Keeps this process a member and declares members with expired leases dead.
+
+    A member renews its lease by writing its row again.
 
     Parameters
     ----------
     table : TableService
-        The table.
+        The table that entry hosts share.
     identity : Identity
-        The member that this process is.
+        Identity of this member.
     clock : Clock
-        The clock.
+        Clock of the process.
     counters : Counters
-        Takes the counts.
+        Counts failed joins and renewals, losses of membership, and members that this
+        one declared dead.
     on_renewed : callable
-        Called with the time at which a successful renewal was sent.
-    on_lost : callable
-        Awaited when this member was declared dead, before it joins anew.
+        Called after each successful join or renewal with the time at which it was sent.
+    on_declared_dead : callable
+        Awaited when this member was declared dead, before the process joins as a new
+        member.
+
+    Attributes
+    ----------
+    is_draining : bool
+        Whether the process is about to stop.
     """
 
     def __init__(
@@ -60,32 +69,35 @@
         identity: Identity,
         clock: Clock,
         counters: Counters,
-        on_renewed: Renewed,
-        on_lost: Lost,
+        on_renewed: RenewalCallback,
+        on_declared_dead: DeclaredDeadCallback,
     ) -> None:
         self._table = table
         self._identity = identity
         self._clock = clock
         self._counters = counters
         self._on_renewed = on_renewed
-        self._on_lost = on_lost
-        self._observer = MemberLeaseTracker(clock)
+        self._on_declared_dead = on_declared_dead
+        self._lease_tracker = MemberLeaseTracker(clock)
         self._renewals = 0
         self._member_version = 0
-        self.draining = False
+        self.is_draining = False
 
     @property
     def members(self) -> dict[str, MemberRow]:
-        """The members as last read."""
-        return self._observer.members
+        """The rows of the members as last read, by member name."""
+        return self._lease_tracker.members
 
     @property
     def has_joined(self) -> bool:
-        """Whether this member's rows are in place."""
-        return self._identity.alive_version > 0
+        """Whether this process has joined and has not left.
+
+        A member that was declared dead counts as joined until it notices.
+        """
+        return self._identity.liveness_version > 0
 
     async def run(self) -> None:
-        """Join, then renew the lease, for ever."""
+        """Join and then renew the lease periodically until cancelled."""
         while True:
             if self.has_joined:
                 await self.renew()
@@ -94,10 +106,10 @@
             await asyncio.sleep(MEMBER_RENEWAL_INTERVAL_S)
 
     async def join(self) -> None:
-        """Write this member's rows for the first time."""
+        """Join the cluster by writing the rows of this member for the first time."""
         sent_s = self._clock.now()
         member = self._identity.member
-        row = self._identity.row(self._renewals, self.draining)
+        row = self._identity.build_row(self._renewals, self.is_draining)
         transaction = Transaction(
             writes=(
                 Write(member_key(member), encode(row)),
@@ -110,54 +122,70 @@
         if isinstance(outcome, Err):
             self._counters.add(f"membership.join.{outcome.err_value.value}")
             return
-        self._identity.alive_version = outcome.ok_value.version
+        self._identity.liveness_version = outcome.ok_value.version
         self._on_renewed(sent_s)
         log_message("member_joined", member=member)
 
     async def renew(self) -> None:
-        """Write this member's row anew, which is the lease of all it owns."""
+        """Renew the lease of this member by writing its row again.
+
+        The lease covers all partitions that the member owns. If the member was declared
+        dead, the process joins again as a new member.
+        """
         sent_s = self._clock.now()
         self._renewals += 1
         member = self._identity.member
-        row = self._identity.row(self._renewals, self.draining)
+        row = self._identity.build_row(self._renewals, self.is_draining)
         transaction = Transaction(
             writes=(Write(member_key(member), encode(row)),),
-            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
+            conditions=(
+                Condition(liveness_key(member), self._identity.liveness_version),
+            ),
         )
         outcome = await transact_with_readback(self._table, transaction)
         if isinstance(outcome, Ok):
             self._on_renewed(sent_s)
             return
         self._counters.add(f"membership.renew.{outcome.err_value.value}")
-        if outcome.err_value is TableFailure.CONFLICT and await self._is_dead():
+        if (
+            outcome.err_value is TableFailure.CONFLICT
+            and await self._was_declared_dead()
+        ):
             await self.rejoin()
 
     async def rejoin(self) -> None:
-        """Give up what this member owned and become a new one."""
+        """Give up the partitions of this member and join again as a new member."""
         log_message("member_lost", member=self._identity.member)
         self._counters.add("membership.lost")
-        await self._on_lost()
-        self._identity.renew()
+        await self._on_declared_dead()
+        self._identity.assign_new_member()
         await self.join()
 
-    async def observe(self) -> bool:
-        """Read the members' rows; return whether the store answered."""
+    async def read_members(self) -> bool:
+        """Read the rows of all members and return whether the table answered.
+
+        If it did not answer, all observed leases restart, because renewals may have
+        been missed.
+        """
         rows = await self._table.scan(MEMBER_PREFIX)
         if isinstance(rows, Err):
-            self._observer.restart_leases()
+            self._lease_tracker.restart_leases()
             return False
-        seen: list[VersionedMemberRow] = []
+        versioned_rows: list[VersionedMemberRow] = []
         for row in rows.ok_value:
             decoded = decode(row.value, MemberRow)
             if isinstance(decoded, Ok):
-                seen.append(VersionedMemberRow(decoded.ok_value, row.version))
-        self._observer.update(seen)
+                versioned_rows.append(VersionedMemberRow(decoded.ok_value, row.version))
+        self._lease_tracker.update(versioned_rows)
         return True
 
-    async def declare_dead(self) -> None:
-        """Remove the members whose leases expired before this one's eyes."""
-        for seen in self._observer.expired_members():
-            member = seen.row.member
+    async def declare_expired_members_dead(self) -> None:
+        """Declare members dead whose leases expired, by removing their rows.
+
+        A row that was renewed since it was read is kept.
+        """
+        for expired in self._lease_tracker.expired_members():
+            member = expired.row.member
             if member == self._identity.member:
                 continue
             transaction = Transaction(
@@ -165,7 +193,7 @@
                     Write(member_key(member), None),
                     Write(liveness_key(member), None),
                 ),
-                conditions=(Condition(member_key(member), seen.version),),
+                conditions=(Condition(member_key(member), expired.version),),
             )
             outcome = await self._table.transact(transaction)
             if isinstance(outcome, Ok):
@@ -173,22 +201,24 @@
                 log_message("member_declared_dead", member=member)
 
     async def leave(self) -> None:
-        """Remove this member's rows after everything was handed over."""
+        """Remove the rows of this member after its partitions were handed over."""
         member = self._identity.member
         transaction = Transaction(
             writes=(
                 Write(member_key(member), None),
                 Write(liveness_key(member), None),
             ),
-            conditions=(Condition(liveness_key(member), self._identity.alive_version),),
+            conditions=(
+                Condition(liveness_key(member), self._identity.liveness_version),
+            ),
         )
         await self._table.transact(transaction)
-        self._identity.alive_version = 0
+        self._identity.liveness_version = 0
 
-    async def _is_dead(self) -> bool:
+    async def _was_declared_dead(self) -> bool:
         key = liveness_key(self._identity.member)
         found = await self._table.read(key)
         if isinstance(found, Err):
             return False
         row = found.ok_value
-        return row is None or row.version != self._identity.alive_version
+        return row is None or row.version != self._identity.liveness_version
--- a/src/fuchsiadale/standin/backend_server.py
+++ b/src/fuchsiadale/standin/backend_server.py
@@ -168,7 +168,7 @@
         running = [
             attempt_id
             for worker in self.workers.values()
-            for attempt_id in worker.running_attempt_ids
+            for attempt_id in worker.running_ids
         ]
         return web.json_response(
             {
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -87,7 +87,7 @@
     @property
     def url(self) -> str:
         """Loopback URL of the entry for clients; its port is 0 before the start."""
-        port = self.daemon.callers_port if self.daemon is not None else 0
+        port = self.daemon.clients_port if self.daemon is not None else 0
         return f"http://{LOOPBACK}:{port}"
 
     async def start(self) -> EntryDaemon:
--- a/src/fuchsiadale/standin/worker.py
+++ b/src/fuchsiadale/standin/worker.py
@@ -199,7 +199,7 @@
         return total
 
     @property
-    def running_attempt_ids(self) -> list[str]:
+    def running_ids(self) -> list[str]:
         """Ids of the running attempts."""
         return list(self._runs)
 
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -10,7 +10,7 @@
 from fuchsiadale.config.documents import SourceFile
 from fuchsiadale.config.settings import Address, Settings
 from fuchsiadale.decision.ledger import WorkerInfo
-from fuchsiadale.entry.node import EntryNode, Platform
+from fuchsiadale.entry.node import EntryNode, PlatformClients
 from fuchsiadale.ids import IdSource
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.table import (
@@ -120,7 +120,7 @@
             self.start_node(f"entry-{index}")
         first_node = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
-        change_result = await first_node.config.change_folder(
+        change_result = await first_node.config.replace_from_files(
             [SourceFile("all.yaml", self._config)], None
         )
         change_result.unwrap()
@@ -158,7 +158,7 @@
             platform_url="",
             drain_notice_s=0.5,
         )
-        platform = Platform(
+        platform = PlatformClients(
             FaultyTable(self.platform_state, node_faults),
             FaultyObjectStore(self.platform_state, node_faults),
             MemoryHostList(self.platform_state),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -188,7 +188,7 @@
                 peak = max(peak, count_running_tasks(cluster))
             assert peak == 10
             files = [SourceFile("all.yaml", LIMITED % 4)]
-            (await entry.config.change_folder(files, None)).unwrap()
+            (await entry.config.replace_from_files(files, None)).unwrap()
             await cluster.wait_until(
                 lambda: count_running_tasks(cluster) <= 4, limit_s=18.0
             )
@@ -201,4 +201,4 @@
 
 def count_running_tasks(cluster: TestCluster) -> int:
     """Return the number of tasks that the workers are running."""
-    return sum(len(worker.running_attempt_ids) for worker in cluster.workers.values())
+    return sum(len(worker.running_ids) for worker in cluster.workers.values())
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -115,9 +115,7 @@
             await cluster.kill(owner)
             await cluster.wait_until(lambda: cluster.find_owner() is not None)
             await asyncio.sleep(5.0)
-            assert not any(
-                worker.running_attempt_ids for worker in cluster.workers.values()
-            )
+            assert not any(worker.running_ids for worker in cluster.workers.values())
             view = (await router.show(cancelled, 0.0)).unwrap()
             assert {task.state for task in view.tasks} == {TaskState.CANCELLED}
             view = (await router.show(failed, 0.0)).unwrap()
@@ -152,7 +150,7 @@
 
 def test_new_owner_recovers_from_snapshot_and_truncated_journal() -> None:
     async def session() -> None:
-        with patch.object(hosted_partition, "SNAPSHOT_ROWS", 10):
+        with patch.object(hosted_partition, "SNAPSHOT_ROW_THRESHOLD", 10):
             async with TestCluster(nodes=2) as cluster:
                 owner = cluster.find_owner()
                 assert owner is not None
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -111,9 +111,7 @@
                 entry.router.run_request(make_sleep_submission(1, 30.0, True))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [
-                w for w in cluster.workers.values() if w.running_attempt_ids
-            ]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running_ids]
             cluster.network_faults[
                 cluster.find_other_host(owner)
             ].unreachable_workers.add(running_worker.info.name)
@@ -192,9 +190,7 @@
                 entry.router.run_request(make_sleep_submission(1, 40.0, False))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [
-                w for w in cluster.workers.values() if w.running_attempt_ids
-            ]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running_ids]
             cluster.network_faults[other].unreachable_workers.add(
                 running_worker.info.name
             )
@@ -216,9 +212,7 @@
             request = make_sleep_submission(1, 40.0, False)
             pending_request = asyncio.ensure_future(entry.router.run_request(request))
             await asyncio.sleep(0.2)
-            (running_worker,) = [
-                w for w in cluster.workers.values() if w.running_attempt_ids
-            ]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running_ids]
             await cluster.kill(owner)
             running_worker.reboot()
             view = (await pending_request).unwrap()
@@ -259,9 +253,7 @@
                 entry.router.run_request(make_sleep_submission(1, 50.0, True))
             )
             await asyncio.sleep(0.2)
-            (running_worker,) = [
-                w for w in cluster.workers.values() if w.running_attempt_ids
-            ]
+            (running_worker,) = [w for w in cluster.workers.values() if w.running_ids]
             cluster.network_faults[owner].is_store_unreachable = True
             cluster.isolate(owner)
             for host in cluster.nodes:
@@ -271,7 +263,7 @@
                     )
             for _ in range(1200):
                 await asyncio.sleep(0.05)
-                running = [w for w in cluster.workers.values() if w.running_attempt_ids]
+                running = [w for w in cluster.workers.values() if w.running_ids]
                 assert len(running) <= 1
             pending_request.cancel()
 
