--- a/src/fuchsiadale/cell/ownership.py
+++ b/src/fuchsiadale/cell/ownership.py
@@ -1,4 +1,4 @@
-"""Decides in each process whom to follow, and when to take the cell over."""
+"""Monitors the owner of the cell and acquires the ownership when the owner fails."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from eliot import log_message
 from result import Err, Ok
 
-from fuchsiadale.cell.peers import OwnerStanding, PeerClient
+from fuchsiadale.cell.peers import PeerClient, PeerStatus
 from fuchsiadale.cell.rows import (
     OwnerRow,
     StoredOwner,
@@ -20,61 +20,105 @@
 )
 from fuchsiadale.ports.rows import RowStore, StoreFailure
 
-SYNC_S = 0.6
-"""Seconds between two calls to the owner; a silent death is seen in two."""
+SYNC_INTERVAL_S = 0.6
+"""Seconds between two calls to the owner.
 
-RECONNECT_S = 0.05
-"""Seconds before an owner is called again whose connection has ended."""
+The failure of an owner whose connection is not closed, such as that of its machine, is
+detected within two intervals.
+"""
 
-SUSPECT_S = 0.2
-"""Seconds between two looks at a suspected owner's row."""
+RECONNECT_DELAY_S = 0.05
+"""Seconds before the owner is called again after its connection has ended."""
 
-UNCHANGED_S = 1.0
-"""Seconds without renewal after which an owner is replaced: two renewals."""
+STORE_POLL_INTERVAL_S = 0.2
+"""Seconds between reads of the owner's row while the owner is suspected or unknown."""
 
-REFUSED_S = 0.5
-"""The same for an owner at whose address nothing listens: one renewal."""
+SILENT_OWNER_TIMEOUT_S = 1.0
+"""Seconds without a renewal after which an owner that does not answer is replaced.
 
-STALE_S = 0.6
-"""The same for an owner that says itself that it cannot renew: one renewal."""
+An owner renews twice in this time.
+"""
 
-CANNOT_RENEW_S = 0.35
-"""The same for an owner that the store refuses: two of its tries."""
+REFUSING_OWNER_TIMEOUT_S = 0.5
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner at whose address nothing listens.
 
-SUSPICION_S = 5.0
-"""Seconds after which a suspected owner is asked again; two replacements."""
+An owner renews once in this time.
+"""
 
-STALE_RENEWAL_S = 0.9
-"""Age of an owner's renewal from which its row is read: two renewals."""
+STALE_OWNER_TIMEOUT_S = 0.6
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner that reports that it does not renew.
 
-TAKE_SPREAD_S = 0.15
-"""Seconds over which peers spread their tries to take the cell."""
+Such an owner reports an old renewal, or that it no longer owns the cell. An owner
+renews once in this time.
+"""
+
+CANNOT_RENEW_TIMEOUT_S = 0.35
+"""Like `SILENT_OWNER_TIMEOUT_S`, for an owner that reports failing transactions.
+
+Such an owner makes two attempts to renew in this time.
+"""
+
+SUSPICION_TIMEOUT_S = 5.0
+"""Seconds after which a suspected owner is called again.
+
+The time suffices for replacing an owner twice.
+"""
+
+STALE_RENEWAL_AGE_S = 0.9
+"""Age in seconds above which an owner's last renewal makes the owner suspect.
+
+An owner renews twice in this time.
+"""
+
+MAX_ACQUIRE_DELAY_S = 0.15
+"""Maximum random delay before an attempt to acquire the ownership, in seconds.
+
+The delay spreads the attempts of the peers. It is at most a third of this if the cell
+has no owner.
+"""
 
 
 @frozen
-class Taking:
-    """A cell that this process has just taken."""
+class AcquiredOwnership:
+    """Ownership that this process has just acquired.
+
+    Attributes
+    ----------
+    row : OwnerRow
+        Stored row that names this process as the owner.
+    version : int
+        Version of that row.
+    previous_owner : OwnerRow or None
+        Row of the owner that this process replaced; None if there was none.
+    """
 
     row: OwnerRow
     version: int
-    previous: OwnerRow | None
+    previous_owner: OwnerRow | None
 
 
 class Ownership:
-    """Follows the owner and takes its place when it is gone.
+    """Calls the owner regularly and replaces it when it fails.
 
     Parameters
     ----------
     store : RowStore
-        The platform's store.
+        Store of the cell.
     node : str
-        Name of this machine.
+        Name of the machine that this process runs on.
     address : str
-        ``ip:port`` for its peers.
-    on_taken : callable
-        Called when this process has taken the cell.
+        ``ip:port`` on which this process listens for its peers.
+    on_acquired : callable
+        Called when this process has acquired the ownership; returns whether this
+        process could start to schedule.
     on_superseded : callable
-        Called with a higher epoch than this process's own.
+        Called with the epoch that a peer reported if it is higher than the epoch under
+        which this process owns the cell.
+
+    Attributes
+    ----------
+    is_leaving : bool
+        Whether this process is shutting down and must not acquire the ownership.
     """
 
     def __init__(
@@ -82,31 +126,31 @@
         store: RowStore,
         node: str,
         address: str,
-        on_taken: Callable[[Taking], Awaitable[bool]],
+        on_acquired: Callable[[AcquiredOwnership], Awaitable[bool]],
         on_superseded: Callable[[int], None],
     ) -> None:
         self._store = store
         self._node = node
         self._address = address
         self._incarnation = uuid.uuid4().hex
-        self._on_taken = on_taken
+        self._on_acquired = on_acquired
         self._on_superseded = on_superseded
         self._owner: OwnerRow | None = None
         self._client: PeerClient | None = None
-        self._standing: OwnerStanding | None = None
-        self._standing_s = 0.0
+        self._owner_status: PeerStatus | None = None
+        self._owner_status_s = 0.0
         self._is_owner = False
-        self._taken_s = 0.0
+        self._acquired_s = 0.0
         self.is_leaving = False
 
     @property
     def incarnation(self) -> str:
-        """Identifies this process."""
+        """Id of this process, which changes with every restart."""
         return self._incarnation
 
     @property
     def epoch(self) -> int:
-        """The highest epoch known."""
+        """Epoch of the known owner; 0 if the owner is unknown."""
         return 0 if self._owner is None else self._owner.epoch
 
     @property
@@ -116,60 +160,68 @@
 
     @property
     def owner_client(self) -> PeerClient | None:
-        """Calls the owner; None if it is this process, or unknown."""
+        """Client for calls to the owner; None if it is this process or unknown."""
         return None if self._is_owner else self._client
 
     @property
-    def owner_standing(self) -> OwnerStanding | None:
-        """What the owner last said of itself."""
-        return self._standing
+    def owner_status(self) -> PeerStatus | None:
+        """Last status that a process reported as the owner; None if there is none yet.
+
+        The process may be a previous owner.
+        """
+        return self._owner_status
 
     @property
-    def standing_age_s(self) -> float:
-        """Seconds since the owner last answered."""
-        return asyncio.get_running_loop().time() - self._standing_s
+    def owner_status_age_s(self) -> float:
+        """Seconds since `owner_status` was received; valid only if that is not None."""
+        return asyncio.get_running_loop().time() - self._owner_status_s
 
     @property
-    def taken_age_s(self) -> float:
-        """Seconds since this process last took the cell."""
-        return asyncio.get_running_loop().time() - self._taken_s
+    def ownership_age_s(self) -> float:
+        """Seconds since this process last acquired the ownership."""
+        return asyncio.get_running_loop().time() - self._acquired_s
 
-    def lose(self, reason: str) -> None:
+    def mark_lost(self, reason: str) -> None:
         """Note that this process no longer owns the cell."""
         log_message("ownership_lost", epoch=self.epoch, reason=reason)
         self._is_owner = False
         self._owner = None
 
     async def run(self) -> None:
-        """Follow the owner until cancelled."""
+        """Monitor the owner until cancelled."""
         while True:
             if self._is_owner:
-                await asyncio.sleep(SYNC_S)
+                await asyncio.sleep(SYNC_INTERVAL_S)
             elif self._owner is None:
                 await self._find_owner()
             else:
-                await self._follow()
+                await self._sync_with_owner()
 
     async def _find_owner(self) -> None:
         found = await read_owner(self._store)
         if isinstance(found, Err):
-            await asyncio.sleep(SUSPECT_S)
+            await asyncio.sleep(STORE_POLL_INTERVAL_S)
             return
         stored = found.ok_value
-        if self._is_vacant(stored):
-            await asyncio.sleep(random.uniform(0.0, TAKE_SPREAD_S / 3))
-            await self._take(stored)
+        if self._is_unowned(stored):
+            await asyncio.sleep(random.uniform(0.0, MAX_ACQUIRE_DELAY_S / 3))
+            await self._acquire(stored)
         else:
-            await self._adopt_owner(stored.row)
+            await self._set_owner(stored.row)
 
-    def _is_vacant(self, stored: StoredOwner) -> bool:
+    def _is_unowned(self, stored: StoredOwner) -> bool:
+        """Return whether the ownership can be acquired at once.
+
+        The row is missing, unreadable, resigned or left by a previous run of this
+        process.
+        """
         row = stored.row
         if row is None or row.has_resigned:
             return True
-        # A row of this address and another incarnation is this process's own past.
+        # Another incarnation at this address is a previous run of this process.
         return row.address == self._address and row.incarnation != self._incarnation
 
-    async def _adopt_owner(self, row: OwnerRow | None) -> None:
+    async def _set_owner(self, row: OwnerRow | None) -> None:
         if row is None or row == self._owner:
             return
         self._owner = row
@@ -181,54 +233,65 @@
     def _make_client(self, address: str) -> PeerClient:
         return PeerClient(address)
 
-    async def _follow(self) -> None:
+    async def _sync_with_owner(self) -> None:
+        """Call the owner once and replace it if it has failed."""
         owner, client = self._owner, self._client
         if owner is None or client is None:
             return
-        standing = await client.sync(
+        status = await client.sync(
             self._node, self._address, owner.epoch, self.is_leaving
         )
-        if standing is None:
+        if status is None:
             log_message("owner_silent", owner=owner.node, epoch=owner.epoch)
-            await self._suspect(owner, REFUSED_S if client.is_refused else UNCHANGED_S)
+            await self._replace_unless_renewed(
+                owner,
+                REFUSING_OWNER_TIMEOUT_S
+                if client.is_unavailable
+                else SILENT_OWNER_TIMEOUT_S,
+            )
             return
-        if standing.epoch > owner.epoch:
+        if status.epoch > owner.epoch:
             self._owner = None
             return
-        is_same = standing.incarnation == owner.incarnation
-        if not is_same or not standing.is_owner:
-            # The process that the row names has ended, or has given the cell up.
-            await self._suspect(owner, STALE_S if is_same else 0.0)
+        is_same_process = status.incarnation == owner.incarnation
+        if not is_same_process or not status.is_owner:
+            # The process that the row names has ended, or has lost the ownership.
+            await self._replace_unless_renewed(
+                owner, STALE_OWNER_TIMEOUT_S if is_same_process else 0.0
+            )
             return
-        self._standing = standing
-        self._standing_s = asyncio.get_running_loop().time()
-        if standing.cannot_renew:
-            await self._suspect(owner, CANNOT_RENEW_S)
+        self._owner_status = status
+        self._owner_status_s = asyncio.get_running_loop().time()
+        if status.cannot_renew:
+            await self._replace_unless_renewed(owner, CANNOT_RENEW_TIMEOUT_S)
             return
-        if standing.renewed_age_s > STALE_RENEWAL_S:
-            await self._suspect(owner, STALE_S)
+        if status.renewed_age_s > STALE_RENEWAL_AGE_S:
+            await self._replace_unless_renewed(owner, STALE_OWNER_TIMEOUT_S)
             return
-        await client.wait_lost(SYNC_S)
-        await asyncio.sleep(RECONNECT_S)
+        await client.wait_for_disconnect(SYNC_INTERVAL_S)
+        await asyncio.sleep(RECONNECT_DELAY_S)
+
+    async def _replace_unless_renewed(self, owner: OwnerRow, timeout_s: float) -> None:
+        """Replace the owner if its row stays unchanged, or at once if it resigned.
 
-    async def _suspect(self, owner: OwnerRow, unchanged_s: float) -> None:
-        """Take the cell over once its owner has not renewed while the store answers.
+        This process does not replace the owner if it renews, if another process has
+        replaced it, or if the store does not answer for `SUSPICION_TIMEOUT_S`.
 
         Parameters
         ----------
         owner : OwnerRow
-            The owner that is suspected.
-        unchanged_s : float
-            Seconds for which its row must be seen unchanged.
+            Row of the suspected owner.
+        timeout_s : float
+            Seconds for which the row must stay unchanged before the owner is replaced.
         """
         first_version: int | None = None
         first_seen_s = 0.0
         started_s = asyncio.get_running_loop().time()
-        while asyncio.get_running_loop().time() - started_s < SUSPICION_S:
+        while asyncio.get_running_loop().time() - started_s < SUSPICION_TIMEOUT_S:
             found = await read_owner(self._store)
             now_s = asyncio.get_running_loop().time()
             if isinstance(found, Err):
-                await asyncio.sleep(SUSPECT_S)
+                await asyncio.sleep(STORE_POLL_INTERVAL_S)
                 continue
             stored = found.ok_value
             if stored.row is None or stored.row.epoch != owner.epoch:
@@ -237,19 +300,20 @@
             if first_version is None:
                 first_version, first_seen_s = stored.version, now_s
             if stored.version != first_version:
-                # The owner still renews; only its answers are missing.
-                await asyncio.sleep(SYNC_S)
+                # The owner has renewed in the meantime, so it is not replaced.
+                await asyncio.sleep(SYNC_INTERVAL_S)
                 return
-            left_s = first_seen_s + unchanged_s - now_s
-            if stored.row.has_resigned or left_s <= 0.0:
-                await asyncio.sleep(random.uniform(0.0, TAKE_SPREAD_S))
-                await self._take(stored)
+            remaining_s = first_seen_s + timeout_s - now_s
+            if stored.row.has_resigned or remaining_s <= 0.0:
+                await asyncio.sleep(random.uniform(0.0, MAX_ACQUIRE_DELAY_S))
+                await self._acquire(stored)
                 return
-            await asyncio.sleep(min(SUSPECT_S, left_s))
+            await asyncio.sleep(min(STORE_POLL_INTERVAL_S, remaining_s))
 
-    async def _take(self, stored: StoredOwner) -> None:
+    async def _acquire(self, stored: StoredOwner) -> None:
+        """Acquire the ownership with a new epoch if the owner's row is unchanged."""
         if self.is_leaving:
-            await asyncio.sleep(SUSPECT_S)
+            await asyncio.sleep(STORE_POLL_INTERVAL_S)
             return
         previous = stored.row
         epoch = 1 if previous is None else previous.epoch + 1
@@ -262,15 +326,18 @@
                 version = found.ok_value.version
         if version is None:
             self._owner = None
-            await asyncio.sleep(random.uniform(0.05, TAKE_SPREAD_S))
+            await asyncio.sleep(random.uniform(0.05, MAX_ACQUIRE_DELAY_S))
             return
         self._owner = row
         self._is_owner = True
-        self._taken_s = asyncio.get_running_loop().time()
-        if not await self._on_taken(Taking(row, version, previous)):
-            self.lose("not_recovered")
+        self._acquired_s = asyncio.get_running_loop().time()
+        if not await self._on_acquired(AcquiredOwnership(row, version, previous)):
+            self.mark_lost("not_recovered")
 
     def note_epoch(self, epoch: int) -> None:
-        """Note an epoch that a peer knows."""
+        """Call `on_superseded` if a peer's epoch is higher than that of this owner.
+
+        Nothing happens if this process is not the owner.
+        """
         if self._is_owner and epoch > self.epoch:
             self._on_superseded(epoch)
--- a/src/fuchsiadale/cell/worker_link.py
+++ b/src/fuchsiadale/cell/worker_link.py
@@ -1,4 +1,4 @@
-"""Keeps one worker's lease renewed, watches what runs there and passes orders."""
+"""Polls one worker, renews the leases of its runs and sends it orders."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from attrs import define
 from result import Err
 
-from fuchsiadale.cell.answer_losses import AnswerLosses
+from fuchsiadale.cell.reply_loss_tracker import ReplyLossTracker
 from fuchsiadale.decision.workflow.messages import (
     PaceRun,
     StartOutcome,
@@ -27,100 +27,150 @@
 )
 
 LEASE_S = 4.5
-"""Lease of what runs: bears a takeover of 3 s, and bounds the wait for the silent."""
+"""Duration of a lease of runs, in seconds.
 
-LOOK_WAIT_S = 0.8
-"""Seconds that a look waits for an end; below a checkpoint's interval of 1 s."""
+Runs must survive a takeover of the cell, during which their leases are not renewed for
+3 s. The lease also bounds how long the runs of an unresponsive worker are waited for.
+"""
 
-IDLE_LOOK_WAIT_S = 2.0
-"""Seconds that a look waits at a worker without runs; the longest allowed."""
+POLL_WAIT_S = 0.8
+"""Seconds that a poll waits for a run to end.
 
-LOOK_MARGIN_S = 0.3
-"""Seconds beyond its wait until a look counts as unanswered: 40 times its way."""
+A report shows only the last checkpoint of a run. The wait is therefore shorter than the
+interval between checkpoints, which is 1 s.
+"""
+
+IDLE_POLL_WAIT_S = 2.0
+"""Seconds that a poll waits at a worker without runs; workers allow no longer wait."""
+
+POLL_TIMEOUT_MARGIN_S = 0.3
+"""Seconds by which a poll's timeout exceeds its wait; 40 times the network time."""
 
 CALL_TIMEOUT_S = 0.3
-"""Seconds until a call counts as unanswered; 40 times its usual time."""
+"""Timeout of all other calls to workers in seconds; 40 times their usual duration."""
 
-RETRY_S = 0.15
-"""Seconds between two calls to a worker that does not answer."""
+RETRY_DELAY_S = 0.15
+"""Seconds before a worker is polled again after a poll has failed."""
 
-UNRECORDED_WAIT_S = 0.3
-"""Seconds between two looks while ends wait to be recorded: an outage's."""
+UNRECORDED_ENDS_WAIT_S = 0.3
+"""Longest wait between two polls while reported ends are not recorded, in seconds.
 
-LAPSE_MARGIN_S = 0.3
-"""Seconds after a lease's end until its runs count as gone: the time to kill them."""
+Ends stay unrecorded for so long only during an outage of the store.
+"""
 
-START_TRIES = 5
-"""Times a start is sent to the same worker before its outcome counts as unknown."""
+KILL_MARGIN_S = 0.3
+"""Seconds from a lease's end until its runs count as gone: the time to kill them."""
+
+MAX_START_ATTEMPTS = 5
+"""Number of times a start is sent to a worker before its outcome counts as unknown."""
 
 MS_PER_S = 1000.0
 
 
-def lapse_after_s(max_lease_s: float) -> float:
-    """Return after how many seconds a lease given by an owner has surely ended."""
-    return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
+def lease_expiry_delay_s(max_lease_s: float) -> float:
+    """Return how long after its grant a lease has expired and its runs are killed.
+
+    Parameters
+    ----------
+    max_lease_s : float
+        Longest lease that workers accept, in seconds.
+
+    Returns
+    -------
+    delay_s : float
+        Time from the grant until the runs are certainly killed, in seconds.
+    """
+    return min(LEASE_S, max_lease_s) / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
 
 @define
-class WorkerClock:
-    """What is known of a worker's clock.
+class ClockReading:
+    """Last known reading of a worker's clock.
 
     Attributes
     ----------
     reading_ms : int
-        Its last reading.
+        Reading of the worker's clock, in milliseconds.
     received_s : float
-        When that arrived, on the loop's clock.
+        Time on the event loop's clock at which the reading arrived, in seconds.
     """
 
     reading_ms: int
     received_s: float
 
     def lease_end_ms(self, now_s: float, lease_s: float) -> int:
-        """Return when a lease given now ends, on the worker's clock."""
+        """Return the end of a lease that is granted now, on the worker's clock."""
         return self.reading_ms + round(MS_PER_S * (now_s - self.received_s + lease_s))
 
-    def lapse_s(self, lease_end_ms: int) -> float:
-        """Return when a lease has surely ended, on the loop's clock."""
-        left_s = (lease_end_ms - self.reading_ms) / MS_PER_S
-        return self.received_s + left_s / (1.0 - MAX_CLOCK_DRIFT) + LAPSE_MARGIN_S
+    def lease_expiry_s(self, lease_end_ms: int) -> float:
+        """Return when a lease has expired and its runs are certainly killed.
+
+        The time is on the event loop's clock, in seconds.
+        """
+        remaining_s = (lease_end_ms - self.reading_ms) / MS_PER_S
+        return self.received_s + remaining_s / (1.0 - MAX_CLOCK_DRIFT) + KILL_MARGIN_S
 
 
-class LinkEvents:
-    """What a link tells its owner."""
+class LinkCallbacks:
+    """Functions through which a link reports to the owner.
+
+    Each is called with the worker's id first.
+
+    Parameters
+    ----------
+    on_report : callable
+        Called with each report and the time at which the poll was sent, in seconds on
+        the event loop's clock.
+    on_unresponsive : callable
+        Called each time a poll fails for a reason other than fencing or replacement; a
+        reply that reports another error counts as unresponsive, too.
+    on_replaced : callable
+        Called when a worker with another id answers at the address.
+    on_lease_extended : callable
+        Called when leases may be extended, before each poll or start and after a reply,
+        with the time at which they have expired and their runs are certainly killed, in
+        seconds on the event loop's clock.
+    on_fenced : callable
+        Called when the worker rejects a call because it knows a higher fencing token.
+    """
 
     def __init__(
         self,
         on_report: Callable[[str, WorkerReport, float], None],
-        on_silence: Callable[[str], None],
+        on_unresponsive: Callable[[str], None],
         on_replaced: Callable[[str], None],
-        on_lease: Callable[[str, float], None],
+        on_lease_extended: Callable[[str, float], None],
         on_fenced: Callable[[str], None],
     ) -> None:
         self.on_report = on_report
-        self.on_silence = on_silence
+        self.on_unresponsive = on_unresponsive
         self.on_replaced = on_replaced
-        self.on_lease = on_lease
+        self.on_lease_extended = on_lease_extended
         self.on_fenced = on_fenced
 
 
 class WorkerLink:
-    """Talks to one worker on behalf of the owner.
+    """Connection of the cell's owner to one worker.
 
     Parameters
     ----------
     workers : WorkerClient
-        Makes the calls.
+        Client that makes the calls.
     address : WorkerAddress
-        The worker.
+        Id and address of the worker.
     epoch : int
-        The owner's fencing token.
+        Epoch of the owner, sent to the worker as the fencing token.
     max_lease_s : float
-        Longest lease that the worker grants, in seconds.
-    events : LinkEvents
-        Where it reports.
-    losses : AnswerLosses
-        Shared by all links.
+        Longest lease that the worker accepts, in seconds.
+    callbacks : LinkCallbacks
+        Functions through which the link reports to the owner.
+    reply_losses : ReplyLossTracker
+        Tracker of lost replies, shared by the links to all workers.
+
+    Attributes
+    ----------
+    is_busy : bool
+        Whether the worker has runs; set by the owner.
     """
 
     def __init__(
@@ -129,58 +179,66 @@
         address: WorkerAddress,
         epoch: int,
         max_lease_s: float,
-        events: LinkEvents,
-        losses: AnswerLosses,
+        callbacks: LinkCallbacks,
+        reply_losses: ReplyLossTracker,
     ) -> None:
-        self._losses = losses
-        self._is_silent = False
+        self._reply_losses = reply_losses
+        self._is_unresponsive = False
         self._workers = workers
         self._address = address
         self._epoch = epoch
         self._lease_s = min(LEASE_S, max_lease_s)
-        self._events = events
-        self._clock: WorkerClock | None = None
-        self._acknowledged = 0
-        self._listed = 0
-        self._started_ms = 0
-        self._recorded = asyncio.Event()
+        self._callbacks = callbacks
+        self._clock_reading: ClockReading | None = None
+        self._acknowledged_through = 0
+        self._reported_through = 0
+        self._worker_started_ms = 0
+        self._ends_recorded = asyncio.Event()
         self.is_busy = False
 
     @property
     def worker_id(self) -> str:
-        """The worker's id."""
+        """Id of the worker."""
         return self._address.worker_id
 
-    def acknowledge(self, end: int) -> None:
-        """Note that ends up to a number are recorded."""
-        self._acknowledged = end
-        self._recorded.set()
+    def acknowledge(self, sequence_number: int) -> None:
+        """Acknowledge all ends of runs up to a sequence number, from the next poll on.
+
+        The owner has recorded these ends.
+        """
+        self._acknowledged_through = sequence_number
+        self._ends_recorded.set()
 
-    def forget_ends(self) -> None:
-        """Begin to count ends anew, for a new life of the worker."""
-        self._acknowledged = 0
-        self._listed = 0
+    def reset_end_numbers(self) -> None:
+        """Forget which ends of runs were reported and acknowledged.
+
+        A restarted worker numbers the ends anew.
+        """
+        self._acknowledged_through = 0
+        self._reported_through = 0
 
     async def run(self) -> None:
-        """Look again and again, until cancelled."""
+        """Poll the worker repeatedly until cancelled."""
         while True:
-            if self._listed > self._acknowledged:
-                self._recorded.clear()
+            if self._reported_through > self._acknowledged_through:
+                self._ends_recorded.clear()
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(self._recorded.wait(), UNRECORDED_WAIT_S)
-            if not await self._look():
-                await asyncio.sleep(RETRY_S)
+                    await asyncio.wait_for(
+                        self._ends_recorded.wait(), UNRECORDED_ENDS_WAIT_S
+                    )
+            if not await self._poll():
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def start(self, order: StartRun) -> StartOutcome:
-        """Send a start; repeat it there while its outcome is unknown."""
-        is_unknown = False
-        life = self._started_ms
-        for _ in range(START_TRIES):
-            lease_end_ms = self._renewed_until()
+        """Send a start order; repeat it to this worker while its outcome is unknown."""
+        is_outcome_unknown = False
+        started_ms = self._worker_started_ms
+        for _ in range(MAX_START_ATTEMPTS):
+            lease_end_ms = self._grant_lease()
             if lease_end_ms is None:
                 return StartOutcome.UNHEALTHY
-            if self._started_ms != life:
-                # Another life of the worker knows nothing of the earlier tries.
+            if self._worker_started_ms != started_ms:
+                # The worker has restarted and no longer knows the earlier attempts.
                 return StartOutcome.UNKNOWN
             answer = await self._workers.start(
                 self._address,
@@ -196,30 +254,34 @@
                 CALL_TIMEOUT_S,
             )
             if answer.outcome is StartOutcome.FENCED:
-                self._events.on_fenced(self.worker_id)
+                self._callbacks.on_fenced(self.worker_id)
             if answer.outcome is StartOutcome.UNKNOWN:
-                is_unknown = True
-                self._losses.note()
-            elif answer.outcome is StartOutcome.STARTED or not is_unknown:
+                is_outcome_unknown = True
+                self._reply_losses.record_loss()
+            elif answer.outcome is StartOutcome.STARTED or not is_outcome_unknown:
                 return answer.outcome
             else:
-                # A refusal says nothing of an earlier try that was not answered.
+                # A refusal does not tell whether an earlier attempt started the run.
                 return StartOutcome.UNKNOWN
         return StartOutcome.UNKNOWN
 
     async def stop(self, order: StopRun) -> bool:
-        """Send a stop; tell whether the worker acknowledged it."""
+        """Send a stop order; return False if it must be sent again.
+
+        It need not be sent again if the worker acknowledged it, or if a worker with
+        another id answers at the address.
+        """
         outcome = await self._workers.stop(
             self._address, order.task, order.run, self._epoch, CALL_TIMEOUT_S
         )
         if isinstance(outcome, Err):
             if outcome.err_value is CallFailure.FENCED:
-                self._events.on_fenced(self.worker_id)
+                self._callbacks.on_fenced(self.worker_id)
             return outcome.err_value is CallFailure.OTHER_BOOT
         return True
 
-    async def pace(self, order: PaceRun) -> None:
-        """Send an order to work at a share of full speed."""
+    async def limit_pace(self, order: PaceRun) -> None:
+        """Send an order to limit a run to a percentage of its full speed."""
         await self._workers.set_pace(
             self._address,
             order.task,
@@ -229,57 +291,70 @@
             CALL_TIMEOUT_S,
         )
 
-    async def _look(self) -> bool:
-        has_backlog = self._listed > self._acknowledged
-        wait_s = LOOK_WAIT_S if self.is_busy else IDLE_LOOK_WAIT_S
+    async def _poll(self) -> bool:
+        has_unrecorded_ends = self._reported_through > self._acknowledged_through
+        wait_s = POLL_WAIT_S if self.is_busy else IDLE_POLL_WAIT_S
         if self.is_busy:
-            wait_s = self._losses.limit_wait_s(wait_s)
-        if self._clock is None or has_backlog or self._is_silent:
+            wait_s = self._reply_losses.limit_wait_s(wait_s)
+        if self._clock_reading is None or has_unrecorded_ends or self._is_unresponsive:
             wait_s = 0.0
-        # Renewing a silent worker's leases would keep its runs in the books for good.
-        lease_end_ms = None if self._is_silent else self._renewed_until()
+        # Renewing the leases of an unresponsive worker would put off their expiry
+        # forever, and with it the time from which its runs count as gone.
+        lease_end_ms = None if self._is_unresponsive else self._grant_lease()
         sent_s = asyncio.get_running_loop().time()
         outcome = await self._workers.poll(
             self._address,
-            PollRequest(lease_end_ms, self._epoch, self._acknowledged, wait_s),
-            wait_s + LOOK_MARGIN_S,
+            PollRequest(lease_end_ms, self._epoch, self._acknowledged_through, wait_s),
+            wait_s + POLL_TIMEOUT_MARGIN_S,
         )
         now_s = asyncio.get_running_loop().time()
         if isinstance(outcome, Err):
-            self._note_failure(outcome.err_value)
+            self._handle_failure(outcome.err_value)
             return False
-        self._is_silent = False
+        self._is_unresponsive = False
         report = outcome.ok_value
-        was_new = self._clock is None
-        self._clock = WorkerClock(report.clock_ms, now_s)
+        is_first_report = self._clock_reading is None
+        self._clock_reading = ClockReading(report.clock_ms, now_s)
         if lease_end_ms is not None:
-            self._events.on_lease(self.worker_id, self._clock.lapse_s(lease_end_ms))
-        self._started_ms = report.started_ms
-        self._listed = max((end.sequence_number for end in report.ended), default=0)
-        self._listed = max(self._listed, self._acknowledged)
-        self._events.on_report(self.worker_id, report, sent_s)
-        if was_new and report.running:
-            # What a former owner started holds a lease that it gave.
-            self._events.on_lease(self.worker_id, now_s + lapse_after_s(self._lease_s))
-            return await self._look()
+            self._callbacks.on_lease_extended(
+                self.worker_id, self._clock_reading.lease_expiry_s(lease_end_ms)
+            )
+        self._worker_started_ms = report.started_ms
+        self._reported_through = max(
+            (end.sequence_number for end in report.ended), default=0
+        )
+        self._reported_through = max(self._reported_through, self._acknowledged_through)
+        self._callbacks.on_report(self.worker_id, report, sent_s)
+        if is_first_report and report.running:
+            # A previous owner started these runs and may have extended their leases.
+            self._callbacks.on_lease_extended(
+                self.worker_id, now_s + lease_expiry_delay_s(self._lease_s)
+            )
+            return await self._poll()
         return True
 
-    def _note_failure(self, failure: CallFailure) -> None:
+    def _handle_failure(self, failure: CallFailure) -> None:
         if failure is CallFailure.FENCED:
-            self._events.on_fenced(self.worker_id)
+            self._callbacks.on_fenced(self.worker_id)
         elif failure is CallFailure.OTHER_BOOT:
-            self._events.on_replaced(self.worker_id)
+            self._callbacks.on_replaced(self.worker_id)
         else:
-            if failure is CallFailure.NO_ANSWER and not self._is_silent:
-                self._losses.note()
-            self._is_silent = True
-            self._events.on_silence(self.worker_id)
-
-    def _renewed_until(self) -> int | None:
-        """Return the end of a lease given now, after noting it."""
-        if self._clock is None:
+            if failure is CallFailure.NO_ANSWER and not self._is_unresponsive:
+                self._reply_losses.record_loss()
+            self._is_unresponsive = True
+            self._callbacks.on_unresponsive(self.worker_id)
+
+    def _grant_lease(self) -> int | None:
+        """Return the end of a lease granted now, in milliseconds on the worker's clock.
+
+        Reports to the owner when the lease has certainly expired. Returns None if no
+        reading of the worker's clock is known.
+        """
+        if self._clock_reading is None:
             return None
         now_s = asyncio.get_running_loop().time()
-        lease_end_ms = self._clock.lease_end_ms(now_s, self._lease_s)
-        self._events.on_lease(self.worker_id, self._clock.lapse_s(lease_end_ms))
+        lease_end_ms = self._clock_reading.lease_end_ms(now_s, self._lease_s)
+        self._callbacks.on_lease_extended(
+            self.worker_id, self._clock_reading.lease_expiry_s(lease_end_ms)
+        )
         return lease_end_ms
