--- a/bench/policies.py
+++ b/bench/policies.py
@@ -34,26 +34,13 @@
     make_work,
 )
 
-SEED = 20261204
-"""Seed of all random numbers."""
-
-DURATION_S = 3600.0
-"""Simulated time, in seconds."""
-
-WARM_UP_S = 600.0
-"""Seconds at the beginning that are not measured."""
-
-SAMPLE_PERIOD_S = 5.0
-"""Seconds between two samples of the resource usage."""
-
-WINDOW_S = 600.0
-"""Seconds over which the usage of teams is averaged for `share_distance`."""
-
-MEAN_RUN_S = 40.0
-"""Mean run time of the tasks, in seconds."""
-
-LOADS = (0.8, 1.3)
-"""Loads to simulate, as fractions of what a completely used pool could run."""
+SEED = 20261204  # seed of all random numbers
+DURATION_S = 3600.0  # simulated time, in seconds
+WARM_UP_S = 600.0  # seconds at the beginning that are not measured
+SAMPLE_PERIOD_S = 5.0  # seconds between two samples of the resource usage
+WINDOW_S = 600.0  # seconds over which usage is averaged for `share_distance`
+MEAN_RUN_S = 40.0  # mean run time of the tasks, in seconds
+LOADS = (0.8, 1.3)  # fractions of what a completely used pool could run
 
 
 @frozen
@@ -165,17 +152,7 @@
 
 @define
 class _Samples:
-    """Measurements of one simulation.
-
-    Attributes
-    ----------
-    share_deviations : list of dict of str to float
-        Difference between usage and entitlement by team, for each sample.
-    packings : list of float
-        Fraction in use of the most used resource, for each sample.
-    waits_s : list of float
-        Time from arrival to start of each task started after the warm-up, in seconds.
-    """
+    """Share deviations and packing by sample, and waiting times of started tasks."""
 
     share_deviations: list[dict[str, float]] = field(factory=list)
     packings: list[float] = field(factory=list)
@@ -209,8 +186,8 @@
         self._random = random.Random(SEED)
         self._events: list[_Event] = []
         self._sequence = 0
-        self._used_by_team: defaultdict[str, Resources] = defaultdict(Resources)
-        self._waiting_by_team: defaultdict[str, Resources] = defaultdict(Resources)
+        self._used: defaultdict[str, Resources] = defaultdict(Resources)
+        self._waiting: defaultdict[str, Resources] = defaultdict(Resources)
         self._samples = _Samples()
 
     def run(self) -> PolicyResult:
@@ -254,24 +231,19 @@
         """Draw random arrivals, whose work on average makes up the load to simulate."""
         mean_run_s = MEAN_RUN_S
         total_slots = self._pool.workers * self._pool.capacity.slots
-        arrivals_per_s = (
-            self._load * total_slots / mean_run_s / self._mean_slots_per_task()
-        )
+        rate_per_s = self._load * total_slots / mean_run_s / self._mean_slots_per_task()
         at_s = 0.0
         number = 0
         teams = list(self._user.demand)
         fractions = list(self._user.demand.values())
         while at_s < DURATION_S:
-            at_s += self._random.expovariate(arrivals_per_s)
+            at_s += self._random.expovariate(rate_per_s)
             number += 1
             team = self._random.choices(teams, fractions)[0]
             self._push_event(at_s, self._make_task(number, team, at_s), is_arrival=True)
 
     def _mean_slots_per_task(self) -> float:
-        """Return how many of a worker's slots a task takes up on average.
-
-        A task that requests many cores or much memory takes up more than one slot.
-        """
+        """Return the mean number of slots that a task leaves unusable for others."""
         capacity = self._pool.capacity
         tasks_per_worker = min(
             capacity.slots,
@@ -281,10 +253,7 @@
         return capacity.slots / tasks_per_worker
 
     def _mean_task_resources(self) -> Resources:
-        """Return approximate mean resources of a task: 9/40 of a worker's capacity.
-
-        The exact mean of the amounts drawn in `_make_task` is 17/80 of the capacity.
-        """
+        """Return 9/40 of a worker's capacity; the exact mean of a task is 17/80."""
         capacity = self._pool.capacity
         return Resources(capacity.cpu_millis * 9 // 40, capacity.memory_mb * 9 // 40)
 
@@ -312,25 +281,19 @@
         task = event.task
         team = task.submission.team
         if event.is_arrival:
-            self._waiting_by_team[team] = (
-                self._waiting_by_team[team] + task.submission.resources
-            )
+            self._waiting[team] = self._waiting[team] + task.submission.resources
             self._policy.add(task)
         elif task.attempt is not None:
             self._policy.release(task.attempt)
-            self._used_by_team[team] = (
-                self._used_by_team[team] - task.submission.resources
-            )
+            self._used[team] = self._used[team] - task.submission.resources
         for placement in self._policy.schedule():
             self._record_start(placement.task)
 
     def _record_start(self, task: Task) -> None:
         team = task.submission.team
         now_s = self._clock.now()
-        self._waiting_by_team[team] = (
-            self._waiting_by_team[team] - task.submission.resources
-        )
-        self._used_by_team[team] = self._used_by_team[team] + task.submission.resources
+        self._waiting[team] = self._waiting[team] - task.submission.resources
+        self._used[team] = self._used[team] + task.submission.resources
         if now_s >= WARM_UP_S:
             self._samples.waits_s.append(now_s - task.queued_at_s)
         run_s = self._random.expovariate(1 / MEAN_RUN_S)
@@ -339,7 +302,7 @@
     def _record_sample(self) -> None:
         total_capacity = self._ledger.capacity
         usage = {
-            team: self._used_by_team[team].dominant_share(total_capacity)
+            team: self._used[team].dominant_share(total_capacity)
             for team in self._user.shares
         }
         total_usage = sum(usage.values()) or 1.0
@@ -347,7 +310,7 @@
             self._compute_share_deviations(usage, total_usage)
         )
         all_used = NO_RESOURCES
-        for used in self._used_by_team.values():
+        for used in self._used.values():
             all_used = all_used + used
         self._samples.packings.append(all_used.dominant_share(total_capacity))
 
@@ -363,7 +326,7 @@
         fractions = {team: amount / total_usage for team, amount in usage.items()}
         demands = {
             team: fraction
-            + self._waiting_by_team[team].dominant_share(total_capacity) / total_usage
+            + self._waiting[team].dominant_share(total_capacity) / total_usage
             for team, fraction in fractions.items()
         }
         entitlements = _divide_max_min_fairly(demands, self._user.shares)
@@ -406,12 +369,8 @@
     for user in USERS:
         for pool in user.pools:
             for load in LOADS:
-                for policy_name in (
-                    "fuchsiadale",
-                    "first_come_first_fit",
-                    "random_fit",
-                ):
-                    yield Experiment(user, pool, policy_name, load)
+                for name in ("fuchsiadale", "first_come_first_fit", "random_fit"):
+                    yield Experiment(user, pool, name, load)
 
 
 def run_experiment(experiment: Experiment) -> PolicyResult:
@@ -424,11 +383,7 @@
 def _divide_max_min_fairly(
     demands: dict[str, float], shares: dict[str, float]
 ) -> dict[str, float]:
-    """Divide 1.0 among teams by share, max-min fairly.
-
-    No team gets more than it demands; what a team does not need is divided among the
-    others.
-    """
+    """Divide 1.0 among teams by share, max-min fairly; none exceeds its demand."""
     entitlements: dict[str, float] = {}
     remaining = 1.0
     unsatisfied_teams = set(shares)
