--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -110,6 +110,8 @@
         return outcomes
 
 
+# Guards against an owner that resumes after a pause and starts requests again that
+# another entry has taken over meanwhile.
 def test_paused_owner_runs_no_request_twice_after_it_resumes(
     cluster: ProcessCluster,
 ) -> None:
@@ -125,6 +127,7 @@
     cluster.wait_for_owner("general.0")
 
 
+# Guards against calls that keep using connections on which no reply arrives any more.
 def test_requests_run_on_new_connections_after_open_ones_stop_replying(
     cluster: ProcessCluster,
 ) -> None:
@@ -139,6 +142,7 @@
     assert set(outcomes) == {"ran"}
 
 
+# Guards against requests that fail because an entry stops on SIGTERM.
 def test_rolling_restart_of_all_entries_fails_no_request(
     cluster: ProcessCluster,
 ) -> None:
