--- a/src/fuchsiadale/cli/demo.py
+++ b/src/fuchsiadale/cli/demo.py
@@ -69,7 +69,10 @@
         str or None
             Error message, or None if every step succeeded.
         """
-        files = {source.name: source.text for source in self._system.files()}
+        files = {
+            source.name: source.text
+            for source in self._system.list_configuration_files()
+        }
         apply_reply = await self._admin_client.call_async(
             "PUT", "/admin/v1/config", {"files": files}
         )
--- a/src/fuchsiadale/standin/dev.py
+++ b/src/fuchsiadale/standin/dev.py
@@ -1,4 +1,4 @@
-"""A whole system in one process on loopback: the embedded default."""
+"""Complete system in one process on loopback, for the ``dev`` command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from fuchsiadale.entry.daemon import EntryDaemon
 from fuchsiadale.loop_clock import LoopClock
 from fuchsiadale.standin.backend_server import BackendServerStandIn
-from fuchsiadale.standin.fleet import WorkerShape, make_workers
+from fuchsiadale.standin.fleet import WorkerSize, make_workers
 from fuchsiadale.standin.platform import PlatformStandIn
 
 LOOPBACK = "127.0.0.1"
@@ -45,27 +45,36 @@
 
 @frozen
 class DevOptions:
-    """How the embedded system is set up.
+    """Options of a `DevSystem`.
 
     Attributes
     ----------
-    callers : Address
-        Where it listens for callers.
+    client_address : Address
+        Address on which the entry listens for clients.
     folder : Path or None
-        The operators' folder; a small one of its own if None.
+        Folder of the configuration files to apply; `DEFAULT_FILES` are applied if None.
     """
 
-    callers: Address
+    client_address: Address
     folder: Path | None = None
 
 
 class DevSystem:
-    """One entry, the platform's stand-in and stand-in workers.
+    """One entry, the stand-in of the platform and stand-in workers in one process.
 
     Parameters
     ----------
     options : DevOptions
-        How it is set up.
+        Options of the system.
+
+    Attributes
+    ----------
+    admin_key : str
+        Random key for the operators' interface of the entry.
+    platform : PlatformStandIn
+        Stand-in of the platform.
+    daemon : EntryDaemon or None
+        The entry; None before the start.
     """
 
     def __init__(self, options: DevOptions) -> None:
@@ -77,26 +86,26 @@
 
     @property
     def url(self) -> str:
-        """Where callers reach the entry."""
+        """Loopback URL of the entry for clients; its port is 0 before the start."""
         port = self.daemon.clients_port if self.daemon is not None else 0
         return f"http://{LOOPBACK}:{port}"
 
     async def start(self) -> EntryDaemon:
-        """Start everything and return the entry."""
-        platform_url = await self.listen(self.platform.make_app())
+        """Start the stand-ins and the entry, and return the entry."""
+        platform_url = await self.serve(self.platform.make_app())
         workers = [
-            *make_workers("general", 4, WorkerShape(16, 64)),
-            *make_workers("imaging", 2, WorkerShape(64, 128, accelerators=8)),
+            *make_workers("general", 4, WorkerSize(16, 64)),
+            *make_workers("imaging", 2, WorkerSize(64, 128, accelerators=8)),
         ]
         backend = BackendServerStandIn(workers, LoopClock())
-        backend_url = await self.listen(backend.make_app())
+        backend_url = await self.serve(backend.make_app())
         await backend.register(platform_url, backend_url)
         settings = Settings(
             host="dev",
             region="local",
             failure_domain="domain-0",
-            callers=self._options.callers,
-            peers=Address(LOOPBACK, free_port()),
+            callers=self._options.client_address,
+            peers=Address(LOOPBACK, find_free_port()),
             platform_url=platform_url,
             admin_key_sha256=(hashlib.sha256(self.admin_key.encode()).hexdigest(),),
             drain_notice_s=0.0,
@@ -105,14 +114,14 @@
         await self.daemon.start()
         return self.daemon
 
-    def files(self) -> list[SourceFile]:
-        """Return the files of the configuration to apply."""
+    def list_configuration_files(self) -> list[SourceFile]:
+        """Return the configuration files to apply."""
         if self._options.folder is not None:
             return read_yaml_files(self._options.folder)
         return DEFAULT_FILES
 
-    async def listen(self, app: web.Application) -> str:
-        """Serve an application on a free port and return its address."""
+    async def serve(self, app: web.Application) -> str:
+        """Serve an application on a free loopback port and return its base URL."""
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
         self._runners.append(runner)
@@ -120,15 +129,15 @@
         return f"http://{LOOPBACK}:{runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the entry, then the stand-ins in reverse order of their start."""
         if self.daemon is not None:
             await self.daemon.stop()
         for runner in reversed(self._runners):
             await runner.cleanup()
 
 
-def free_port() -> int:
-    """Return a port on loopback that nobody listens on."""
+def find_free_port() -> int:
+    """Return a loopback port that no process listens on at present."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
         return int(probe.getsockname()[1])
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several entry nodes in one loop, over fakes of everything around them."""
+"""Cluster of entry nodes in one event loop, with stand-ins for all other systems."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 )
 from fuchsiadale.standin.worker import Observation, StandInWorker
 from tests.builders import make_worker_info
-from tests.links import (
-    LinkedObjects,
-    LinkedPeers,
-    LinkedTable,
-    LinkedWorkers,
-    Links,
+from tests.faulty_network import (
+    FaultyObjectStore,
+    FaultyPeerConnector,
+    FaultyTable,
+    FaultyWorkerConnector,
+    NetworkFaults,
 )
 
 CONFIG = """\
@@ -40,8 +40,8 @@
 """
 
 
-class CountingIds(IdSource):
-    """Makes identifiers in order."""
+class SequentialIds(IdSource):
+    """Creates ascending identifiers, so that test runs are reproducible."""
 
     def __init__(self, prefix: str) -> None:
         self._prefix = prefix
@@ -54,16 +54,29 @@
 
 
 class TestCluster:
-    """Entry nodes, workers and a platform on one virtual clock.
+    """Entry nodes, stand-in workers and a stand-in platform on the clock of one loop.
 
     Parameters
     ----------
     nodes : int
         Number of entry nodes.
     workers : sequence of WorkerInfo
-        The workers; three small ones if not given.
+        Descriptions of the workers; three small workers by default.
     config : str
-        The operators' configuration.
+        Text of the configuration file to apply.
+
+    Attributes
+    ----------
+    clock : LoopClock
+        Clock of all nodes and workers.
+    platform_state : PlatformState
+        State of the stand-in platform.
+    network_faults : dict of str to NetworkFaults
+        Faults of the network as each node sees it, by host.
+    nodes : dict of str to EntryNode
+        The running nodes, by host.
+    workers : dict of str to StandInWorker
+        The workers, by name.
     """
 
     __test__ = False
@@ -75,24 +88,24 @@
         config: str = CONFIG,
     ) -> None:
         self.clock = LoopClock()
-        self.state = PlatformState()
-        self.links: dict[str, Links] = {}
+        self.platform_state = PlatformState()
+        self.network_faults: dict[str, NetworkFaults] = {}
         self.nodes: dict[str, EntryNode] = {}
         self.workers: dict[str, StandInWorker] = {}
         self._config = config
-        self._wanted_nodes = nodes
-        self._infos = workers or [make_worker_info(index) for index in range(3)]
-        self._watchers: list[asyncio.Task[None]] = []
-        self._starts = 0
+        self._node_count = nodes
+        self._worker_infos = workers or [make_worker_info(index) for index in range(3)]
+        self._lease_tasks: list[asyncio.Task[None]] = []
+        self._start_count = 0
 
     @property
-    def faults(self) -> PlatformFaults:
-        """The platform's faults."""
-        return self.state.faults
+    def platform_faults(self) -> PlatformFaults:
+        """Faults that the stand-in platform simulates."""
+        return self.platform_state.faults
 
     @property
     def observations(self) -> list[Observation]:
-        """Every run that the workers saw, whether or not it has ended."""
+        """The ended runs that the workers recorded."""
         return [
             observation
             for worker in self.workers.values()
@@ -100,42 +113,42 @@
         ]
 
     async def __aenter__(self) -> TestCluster:
-        """Start everything and apply the configuration."""
-        for info in self._infos:
+        """Start workers and nodes, apply the configuration, and wait until ready."""
+        for info in self._worker_infos:
             self.add_worker(info)
-        for index in range(self._wanted_nodes):
+        for index in range(self._node_count):
             self.start_node(f"entry-{index}")
-        first = next(iter(self.nodes.values()))
+        first_node = next(iter(self.nodes.values()))
         await asyncio.sleep(0.5)
-        changed = await first.config.replace_from_files(
+        change_result = await first_node.config.replace_from_files(
             [SourceFile("all.yaml", self._config)], None
         )
-        changed.unwrap()
-        await self.until_ready()
+        change_result.unwrap()
+        await self.wait_until_ready()
         return self
 
     async def __aexit__(self, *error: object) -> None:
-        """Stop everything."""
+        """Stop all nodes and workers."""
         for node in self.nodes.values():
             await node.stop()
-        for watcher in self._watchers:
-            watcher.cancel()
+        for task in self._lease_tasks:
+            task.cancel()
         for worker in self.workers.values():
             worker.close()
 
     def add_worker(self, info: WorkerInfo) -> None:
-        """Add a worker to the fleet and to the host list."""
+        """Start a worker and add it to the host list."""
         worker = StandInWorker(info, self.clock)
         self.workers[info.name] = worker
-        self.state.put_worker(evolve(info, address=info.name))
+        self.platform_state.put_worker(evolve(info, address=info.name))
         loop = asyncio.get_running_loop()
-        self._watchers.append(loop.create_task(worker.watch_leases()))
+        self._lease_tasks.append(loop.create_task(worker.enforce_leases()))
 
     def start_node(self, host: str) -> EntryNode:
-        """Start an entry node; every start makes other identifiers."""
-        self._starts += 1
-        links = Links()
-        self.links[host] = links
+        """Start an entry node; each start gives its identifiers a new prefix."""
+        self._start_count += 1
+        node_faults = NetworkFaults()
+        self.network_faults[host] = node_faults
         settings = Settings(
             host=host,
             region="local",
@@ -146,70 +159,78 @@
             drain_notice_s=0.5,
         )
         platform = PlatformClients(
-            LinkedTable(self.state, links),
-            LinkedObjects(self.state, links),
-            MemoryHostList(self.state),
+            FaultyTable(self.platform_state, node_faults),
+            FaultyObjectStore(self.platform_state, node_faults),
+            MemoryHostList(self.platform_state),
         )
         node = EntryNode(
             settings,
             platform,
-            LinkedWorkers(self.workers, links),
-            LinkedPeers(lambda other: self._reachable(host, other)),
-            CountingIds(f"{host[-1]}{self._starts:02x}"),
+            FaultyWorkerConnector(self.workers, node_faults),
+            FaultyPeerConnector(
+                lambda peer_host: self._find_reachable_node(host, peer_host)
+            ),
+            SequentialIds(f"{host[-1]}{self._start_count:02x}"),
         )
         node.start()
         self.nodes[host] = node
         return node
 
     async def kill(self, host: str) -> None:
-        """End a node at once, without a word to anybody."""
+        """Stop a node abruptly: it does not drain and notifies no other node."""
         await self.nodes.pop(host).stop()
 
-    async def until(
+    async def wait_until(
         self, condition: Callable[[], bool], limit_s: float = 60.0
     ) -> float:
-        """Wait for a condition; return the seconds waited."""
-        began_s = self.clock.now()
+        """Wait for a condition and return the time waited, in seconds.
+
+        Raises
+        ------
+        AssertionError
+            If the condition does not hold within `limit_s` seconds.
+        """
+        started_s = self.clock.now()
         while not condition():
             await asyncio.sleep(0.02)
-            if self.clock.now() - began_s > limit_s:
-                raise AssertionError(f"did not come true within {limit_s} s")
-        return self.clock.now() - began_s
+            if self.clock.now() - started_s > limit_s:
+                raise AssertionError(f"the condition did not hold within {limit_s} s")
+        return self.clock.now() - started_s
 
-    async def until_ready(self) -> None:
-        """Wait until every node is ready and the partition's owner may act."""
-        await self.until(
+    async def wait_until_ready(self) -> None:
+        """Wait until all nodes are ready and the owner of ``general.0`` may act."""
+        await self.wait_until(
             lambda: (
                 all(node.is_ready for node in self.nodes.values())
-                and self.owner() is not None
+                and self.find_owner() is not None
             )
         )
 
-    def owner(self, partition: str = "general.0") -> str | None:
-        """Return the host that owns a partition and may act for it."""
+    def find_owner(self, partition: str = "general.0") -> str | None:
+        """Return the host that owns a partition and may act; None if none does."""
         for host, node in self.nodes.items():
             driver = node.ownership.drivers.get(partition)
             if driver is not None and driver.partition.authority.may_act():
                 return host
         return None
 
-    def other(self, host: str | None) -> str:
-        """Return the first host that is not this one."""
+    def find_other_host(self, host: str | None) -> str:
+        """Return the first running host other than `host`."""
         return next(name for name in self.nodes if name != host)
 
-    def cut_off(self, host: str) -> None:
-        """Cut a node off from its peers, both ways."""
-        for name, links in self.links.items():
+    def isolate(self, host: str) -> None:
+        """Make a node and its peers unreachable for each other."""
+        for name, node_faults in self.network_faults.items():
             if name == host:
-                links.cut_peers.update(set(self.links) - {host})
+                node_faults.unreachable_peers.update(set(self.network_faults) - {host})
             else:
-                links.cut_peers.add(host)
+                node_faults.unreachable_peers.add(host)
 
-    def runs_of(self, work_id: str) -> list[Observation]:
-        """Return the ended runs of a piece of work."""
-        return [o for o in self.observations if o.attempt_id.startswith(work_id)]
+    def list_runs(self, work_id: str) -> list[Observation]:
+        """Return the ended runs of attempts whose ids begin with `work_id`."""
+        return [run for run in self.observations if run.attempt_id.startswith(work_id)]
 
-    def _reachable(self, host: str, other: str) -> EntryNode | None:
-        if other in self.links[host].cut_peers:
+    def _find_reachable_node(self, host: str, peer_host: str) -> EntryNode | None:
+        if peer_host in self.network_faults[host].unreachable_peers:
             return None
-        return self.nodes.get(other)
+        return self.nodes.get(peer_host)
--- a/tests/test_cell_committer.py
+++ b/tests/test_cell_committer.py
@@ -20,7 +20,7 @@
 from fuchsiadale.codec import encode
 from fuchsiadale.decision.workflow.jobs import JobState
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 from tests.workflow_builders import Cell, make_record
 
 OWNER = OwnerRow("node", "1:1", "this", 1)
@@ -67,7 +67,7 @@
         assert stored.progress[make_record().job_id].state is JobState.COMPLETED
         assert setup.processed_ends[-1]["worker-0"].sequence_number == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ownership_is_renewed_until_another_owner_is_stored():
@@ -80,7 +80,7 @@
         await asyncio.sleep(1.0)
         assert setup.loss_reasons == ["superseded"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ownership_survives_transactions_with_lost_answers():
@@ -91,7 +91,7 @@
         assert setup.loss_reasons == []
         assert setup.committer.renewed_age_s < 1.0
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ownership_is_lost_when_store_outage_exceeds_max_renewal_age():
@@ -104,7 +104,7 @@
         await asyncio.sleep(2.0)
         assert setup.loss_reasons == ["not_renewed"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_resignation_is_stored_in_the_owner_row():
@@ -117,7 +117,7 @@
         assert found.row is not None
         assert found.row.has_resigned
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_ended_job_is_removed_from_the_store_only_after_its_retention():
@@ -145,7 +145,7 @@
         assert list(cell.scheduler.jobs) == [make_record(1).job_id]
         assert not cell.scheduler.expired_jobs
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_expired_job_is_remembered_until_the_store_has_removed_its_rows():
@@ -166,7 +166,7 @@
         await asyncio.sleep(1.0)
         assert not cell.scheduler.expired_jobs
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_reports_that_it_cannot_renew_only_after_repeated_failures():
@@ -182,4 +182,4 @@
         await asyncio.sleep(0.5)
         assert not setup.committer.cannot_renew
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_daemon.py
+++ b/tests/test_cell_daemon.py
@@ -7,7 +7,7 @@
 from fuchsiadale.cell.daemon import CellDaemon, CellDependencies, ProcessIdentity
 from fuchsiadale.cell.time_bounds import TimeBounds
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_process_reports_ownership_before_the_stored_cell_is_loaded():
@@ -23,4 +23,4 @@
         assert status.pending is None
         ownership_task.cancel()
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_gateway.py
+++ b/tests/test_cell_gateway.py
@@ -22,7 +22,7 @@
 )
 from fuchsiadale.ports.rows import StoreFailure
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 from tests.workflow_builders import make_configuration, make_queue, make_record
 
 RECORD = make_record(1)
@@ -101,7 +101,7 @@
         assert await fixture.submit() is None
         assert [write.key for write in fixture.store.applied_writes] == [RECORD.job_id]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
         await fixture.start()
         assert await fixture.submit(path, key) is kind
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_submission_is_refused_before_a_configuration_is_received():
@@ -129,7 +129,7 @@
         fixture = GatewayFixture()
         assert await fixture.submit() is ErrorKind.CONFIG_STALE
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_api_keys_are_refused_when_the_configuration_is_stale():
@@ -140,7 +140,7 @@
         await asyncio.sleep(4.5)
         assert await fixture.submit() is ErrorKind.CONFIG_STALE
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_write_is_repeated_after_the_store_loses_a_reply():
@@ -150,7 +150,7 @@
         fixture.store.lost_answers = 1
         assert await fixture.submit() is None
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_write_whose_outcome_stays_unknown_is_reported_as_unknown():
@@ -165,7 +165,7 @@
         fixture.store.transact = lose  # type: ignore[method-assign,assignment]
         assert await fixture.submit() is ErrorKind.OUTCOME_UNKNOWN
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_submission_is_not_sent_to_a_store_that_does_not_respond():
@@ -177,7 +177,7 @@
         assert await fixture.submit() is ErrorKind.STORE_UNAVAILABLE
         assert fixture.store.applied_writes == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_job_state_and_cancellation_use_the_store_without_an_owner():
@@ -199,7 +199,7 @@
         ).unwrap() is JobState.CANCELLED
         assert fixture.notified_keys == [RECORD.job_id, f"{RECORD.job_id}/cancel"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_recorded_final_state_is_returned_without_an_owner():
@@ -214,7 +214,7 @@
         )
         assert shown.unwrap() is JobState.COMPLETED
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_pending_count_is_refused_without_an_owner():
@@ -226,4 +226,4 @@
         counted = await fixture.gateway.count_pending(request)
         assert error_kind(counted) is ErrorKind.NO_OWNER
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_job_watch.py
+++ b/tests/test_cell_job_watch.py
@@ -7,7 +7,7 @@
 from fuchsiadale.cell.job_watch import JobWatch
 from fuchsiadale.cell.rows import JOB_TABLE
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_table_is_read_again_after_the_store_lost_its_history():
@@ -24,4 +24,4 @@
         await asyncio.sleep(0.5)
         assert received_keys[-2:] == ["a", "b"]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_ownership.py
+++ b/tests/test_cell_ownership.py
@@ -14,7 +14,7 @@
 from fuchsiadale.cell.rows import CONTROL_TABLE, OWNER_KEY, OwnerRow, read_owner
 from fuchsiadale.codec import encode
 from tests.row_store import MemoryRowStore
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 OWNER = OwnerRow("owner", "1:1", "former", 4)
 
@@ -88,7 +88,7 @@
         await asyncio.sleep(1.0)
         assert [acquired.row.epoch for acquired in candidate.acquisitions] == [1]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_answers_is_not_replaced():
@@ -98,7 +98,7 @@
         await asyncio.sleep(10.0)
         assert candidate.acquisitions == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_silent_owner_that_renews_is_not_replaced():
@@ -107,7 +107,7 @@
         await candidate.renew_owner(12.0)
         assert candidate.acquisitions == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_silent_owner_that_does_not_renew_is_replaced_within_three_seconds():
@@ -118,7 +118,7 @@
         await asyncio.sleep(3.0 - SILENT_OWNER_TIMEOUT_S)
         assert [acquired.row.epoch for acquired in candidate.acquisitions] == [5]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_whose_process_has_ended_is_replaced_within_a_second():
@@ -130,7 +130,7 @@
         await asyncio.sleep(1.0)
         assert [acquired.row.epoch for acquired in candidate.acquisitions] == [5]
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_renews_is_not_replaced_after_connection_loss():
@@ -142,7 +142,7 @@
         await candidate.renew_owner(12.0)
         assert candidate.acquisitions == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_whose_process_was_restarted_is_replaced_at_once():
@@ -152,7 +152,7 @@
         await asyncio.sleep(0.6)
         assert len(candidate.acquisitions) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_restarted_process_replaces_its_previous_incarnation():
@@ -161,7 +161,7 @@
         await asyncio.sleep(0.5)
         assert len(candidate.acquisitions) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_with_old_renewal_is_replaced_while_the_store_answers():
@@ -171,7 +171,7 @@
         await asyncio.sleep(1.5)
         assert len(candidate.acquisitions) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_cannot_renew_is_replaced_within_a_second():
@@ -181,7 +181,7 @@
         await asyncio.sleep(1.0)
         assert len(candidate.acquisitions) == 1
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_that_renews_again_after_a_store_outage_is_not_replaced():
@@ -197,7 +197,7 @@
             await asyncio.sleep(0.2)
         assert candidate.acquisitions == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_owner_is_not_replaced_while_the_store_is_down():
@@ -215,7 +215,7 @@
         found = (await read_owner(candidate.store)).unwrap()
         assert found.row == OWNER
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_process_that_is_shutting_down_does_not_replace_the_owner():
@@ -225,4 +225,4 @@
         await asyncio.sleep(6.0)
         assert candidate.acquisitions == []
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_cell_worker_link.py
+++ b/tests/test_cell_worker_link.py
@@ -27,7 +27,7 @@
     WorkerAddress,
     WorkerClient,
 )
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 class FakeWorker(WorkerClient):
@@ -114,7 +114,7 @@
         await asyncio.sleep(LOSS_MEMORY_S)
         assert fixture.worker.poll_waits_s[-1] == POLL_WAIT_S
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_polls_of_many_workers_are_not_shortened_after_a_lost_reply():
@@ -124,7 +124,7 @@
         reply_losses.record_loss()
         assert reply_losses.limit_wait_s(POLL_WAIT_S) == POLL_WAIT_S
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_worker_that_replies_again_is_reported_within_half_a_second():
@@ -142,7 +142,7 @@
         )
         assert first_report_s - resumed_s < 0.5
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
 
 
 def test_leases_expire_while_worker_is_unresponsive_and_are_renewed_when_it_replies():
@@ -156,4 +156,4 @@
         await asyncio.sleep(2.0)
         assert max(fixture.lease_expiries_s) > asyncio.get_running_loop().time()
 
-    run_virtually(main())
+    run_with_virtual_clock(main())
--- a/tests/test_chaos.py
+++ b/tests/test_chaos.py
@@ -22,7 +22,7 @@
 from fuchsiadale.standin.worker import Observation
 from tests.builders import make_submission, make_worker_info
 from tests.cluster import CONFIG, TestCluster
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 HOSTS = ("entry-0", "entry-1", "entry-2")
 WORKERS = tuple(f"worker-{index}" for index in range(4))
@@ -116,8 +116,8 @@
         await asyncio.wait([*calls, *injections], timeout=SETTLE_TIMEOUT_S)
         for injection in injections:
             injection.result()
-        await self._cluster.until(
-            lambda: not any(w.running for w in self._cluster.workers.values())
+        await self._cluster.wait_until(
+            lambda: not any(w.running_ids for w in self._cluster.workers.values())
         )
 
     def check_consistency(self) -> None:
@@ -131,7 +131,7 @@
             if outcome is not None:
                 self._check_outcome(submission, outcome, runs[work_id])
         for worker in self._cluster.workers.values():
-            assert not worker.overfilled
+            assert not worker.has_exceeded_capacity
 
     def _check_runs(self, submission: Submission, runs: list[Observation]) -> None:
         if not submission.idempotent:
@@ -213,25 +213,29 @@
 
     def _set_fault(self, fault: Fault, is_on: bool) -> None:
         cluster = self._cluster
-        links = cluster.links[fault.host]
+        node_faults = cluster.network_faults[fault.host]
         if fault.kind == "cut store":
-            links.store_cut = is_on
+            node_faults.is_store_unreachable = is_on
         elif fault.kind == "cut peers" and is_on:
-            cluster.cut_off(fault.host)
+            cluster.isolate(fault.host)
         elif fault.kind == "cut peers":
-            for other in cluster.links.values():
-                other.cut_peers.clear()
+            for other in cluster.network_faults.values():
+                other.unreachable_peers.clear()
         elif fault.kind == "store down":
-            cluster.faults.table_down = is_on
+            cluster.platform_faults.table_down = is_on
         elif fault.kind == "lose store answers" and is_on:
-            cluster.faults.lost_answers += 5
+            cluster.platform_faults.lost_answers += 5
         elif fault.kind == "lose store calls" and is_on:
-            cluster.faults.lost_calls += 5
+            cluster.platform_faults.lost_calls += 5
         elif fault.kind == "worker leaves":
             cluster.workers[fault.worker].faults.leaving = is_on
         elif fault.kind in ("cut worker", "lose worker answers"):
             is_cut = fault.kind == "cut worker"
-            names = links.cut_workers if is_cut else links.lost_worker_answers
+            names = (
+                node_faults.unreachable_workers
+                if is_cut
+                else node_faults.workers_losing_replies
+            )
             (names.add if is_on else names.discard)(fault.worker)
 
 
@@ -249,7 +253,7 @@
 def test_reported_outcomes_match_the_runs_on_workers_under_random_faults(
     faults: list[Fault],
 ) -> None:
-    run_virtually(run_scenario(faults))
+    run_with_virtual_clock(run_scenario(faults))
 
 
 # Faults, found by random tests, under which a caller was once told that its work had
@@ -274,7 +278,7 @@
 def test_reported_outcomes_match_the_runs_on_workers_under_past_faults(
     name: str,
 ) -> None:
-    run_virtually(run_scenario(FAULTS_OF_PAST_FAILURES[name]))
+    run_with_virtual_clock(run_scenario(FAULTS_OF_PAST_FAILURES[name]))
 
 
 @pytest.mark.parametrize("fencing", [True, False])
@@ -291,15 +295,15 @@
         for host in HOSTS[:2]
         for kind in ("cut store", "cut peers")
     ]
-    run_virtually(run_scenario(faults, fencing))
+    run_with_virtual_clock(run_scenario(faults, fencing))
 
 
 def test_gang_is_not_restarted_in_parts_after_its_owner_is_killed() -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            entry = cluster.nodes[cluster.other(owner)]
+            entry = cluster.nodes[cluster.find_other_host(owner)]
             payload = b'{"run_s": 20, "answer": "together"}'
             gang = evolve(
                 make_submission(1, WorkKind.GANG, tasks=6),
@@ -311,9 +315,9 @@
             await asyncio.sleep(40.0)
             view = (await entry.router.show(work_id, 30.0)).unwrap()
             assert {task.state for task in view.tasks} == {TaskState.SUCCEEDED}
-            runs = cluster.runs_of(work_id + "/")
+            runs = cluster.list_runs(work_id + "/")
             assert len(runs) == 6
             # Each of the three workers may receive its tasks in a batch of its own.
             assert len({run.started_s for run in runs}) <= 3
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,25 +14,25 @@
 from tests.builders import SMALL_TASK_RESOURCES, make_submission, make_worker_info
 from tests.cluster import TestCluster
 from tests.test_takeover import make_sleep_submission
-from tests.virtual_loop import run_virtually
+from tests.virtual_loop import run_with_virtual_clock
 
 
 def test_start_whose_answer_was_lost_runs_once() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
-            links = cluster.links["entry-0"]
+            node_faults = cluster.network_faults["entry-0"]
             pending_request = asyncio.ensure_future(
                 entry.router.run_request(make_sleep_submission(1, 5.0, False))
             )
-            links.lost_worker_answers.update(cluster.workers)
+            node_faults.workers_losing_replies.update(cluster.workers)
             await asyncio.sleep(0.1)
-            links.lost_worker_answers.clear()
+            node_faults.workers_losing_replies.clear()
             view = (await pending_request).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            assert len(cluster.runs_of(view.work_id + "/")) == 1
+            assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_truncated_answer_is_fetched_again() -> None:
@@ -45,9 +45,9 @@
                 await entry.router.run_request(make_sleep_submission(1, 0.1, False))
             ).unwrap()
             assert view.tasks[0].answer == b"answer 1"
-            assert len(cluster.runs_of(view.work_id + "/")) == 1
+            assert len(cluster.list_runs(view.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_answer_too_large_to_record_is_delivered_despite_owner_failure() -> None:
@@ -55,9 +55,9 @@
     # answer and does not run again.
     async def session() -> None:
         async with TestCluster(nodes=2) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
-            router = cluster.nodes[cluster.other(owner)].router
+            router = cluster.nodes[cluster.find_other_host(owner)].router
             payload = json.dumps({"run_s": 3.0, "answer": "x" * 100_000}).encode()
             request = evolve(
                 make_submission(1, idempotent=False, key="large"),
@@ -68,18 +68,18 @@
             await cluster.kill(owner)
             view = (await pending_request).unwrap()
             assert len(view.tasks[0].answer) == 100_000
-            await cluster.until(lambda: cluster.owner() is not None)
+            await cluster.wait_until(lambda: cluster.find_owner() is not None)
             await asyncio.sleep(1.0)
-            await cluster.kill(cluster.owner() or "")
+            await cluster.kill(cluster.find_owner() or "")
             node = cluster.start_node("entry-9")
-            await cluster.until(lambda: cluster.owner() == "entry-9")
+            await cluster.wait_until(lambda: cluster.find_owner() == "entry-9")
             repeat = evolve(request, work_id="general.0.repeat")
             repeat_view = (await node.router.run_request(repeat)).unwrap()
             assert repeat_view.tasks[0].state is TaskState.SUCCEEDED
             assert repeat_view.tasks[0].is_omitted
-            assert len(cluster.runs_of(request.work_id + "/")) == 1
+            assert len(cluster.list_runs(request.work_id + "/")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_concurrent_requests_each_get_their_own_answer() -> None:
@@ -100,7 +100,7 @@
                 view = (await request_task).unwrap()
                 assert view.tasks[0].answer == f"answer {number}".encode()
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_deadline_before_any_start_is_reported_as_not_run() -> None:
@@ -123,9 +123,9 @@
                 is ExecutionOutcome.NOT_RUN
             )
             await asyncio.gather(*blocking)
-            assert cluster.runs_of(late.work_id + "/") == []
+            assert cluster.list_runs(late.work_id + "/") == []
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_deadline_after_the_start_is_reported_as_unknown_outcome() -> None:
@@ -136,14 +136,14 @@
             refusal = (await entry.router.run_request(late)).unwrap_err()
             assert refusal.kind is ErrorKind.OUTCOME_UNKNOWN
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 @pytest.mark.parametrize("kills_owner", [False, True])
 def test_requests_with_one_key_at_several_entries_run_once(kills_owner: bool) -> None:
     async def session() -> None:
         async with TestCluster(nodes=3) as cluster:
-            owner = cluster.owner()
+            owner = cluster.find_owner()
             assert owner is not None
             hosts = [host for host in cluster.nodes if host != owner] * 3
             pending_requests = []
@@ -165,9 +165,9 @@
                 for request_task in pending_requests
             ]
             assert answers == [b"answer 7"] * len(hosts)
-            assert len(cluster.runs_of("general.0.same")) == 1
+            assert len(cluster.list_runs("general.0.same")) == 1
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_repeat_of_an_ended_request_is_answered_soon() -> None:
@@ -184,7 +184,7 @@
                 assert view.tasks[0].answer == b"answer 7"
                 assert cluster.clock.now() - began_s < 3.2
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_reuse_of_a_key_for_other_work_is_refused() -> None:
@@ -197,14 +197,14 @@
             refusal = (await router.run_request(other)).unwrap_err()
             assert refusal.kind is ErrorKind.KEY_REUSED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_that_reports_leaving_gets_no_tasks_despite_a_stale_list() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1) as cluster:
             entry = cluster.nodes["entry-0"]
-            cluster.faults.hosts_frozen = True
+            cluster.platform_faults.hosts_frozen = True
             leaving = cluster.workers["worker-1"]
             leaving.faults.leaving = True
             await asyncio.sleep(3.0)
@@ -226,25 +226,25 @@
             await asyncio.gather(*second_round)
             assert any(seen.worker == "worker-1" for seen in cluster.observations)
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_removed_worker_is_used_again_after_it_returns_at_another_address() -> None:
     async def session() -> None:
         async with TestCluster(nodes=1, workers=[make_worker_info(0)]) as cluster:
             entry = cluster.nodes["entry-0"]
-            info = cluster.state.workers["worker-0"]
-            cluster.state.remove_worker("worker-0")
+            info = cluster.platform_state.workers["worker-0"]
+            cluster.platform_state.remove_worker("worker-0")
             await asyncio.sleep(30.0)
             cluster.workers["elsewhere"] = cluster.workers["worker-0"]
-            cluster.state.put_worker(evolve(info, address="elsewhere"))
+            cluster.platform_state.put_worker(evolve(info, address="elsewhere"))
             await asyncio.sleep(5.0)
             view = (
                 await entry.router.run_request(make_sleep_submission(1, 0.1, True))
             ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_service_tasks_move_off_a_worker_that_is_listed_as_leaving() -> None:
@@ -257,14 +257,14 @@
             )
             (await entry.router.submit_job(service)).unwrap()
             await asyncio.sleep(1.0)
-            assert cluster.workers["worker-1"].running
-            info = cluster.state.workers["worker-1"]
-            cluster.state.put_worker(evolve(info, leaving=True))
+            assert cluster.workers["worker-1"].running_ids
+            info = cluster.platform_state.workers["worker-1"]
+            cluster.platform_state.put_worker(evolve(info, leaving=True))
             await asyncio.sleep(5.0)
-            assert not cluster.workers["worker-1"].running
-            assert sum(len(w.running) for w in cluster.workers.values()) == 3
+            assert not cluster.workers["worker-1"].running_ids
+            assert sum(len(w.running_ids) for w in cluster.workers.values()) == 3
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_that_fails_every_task_is_quarantined() -> None:
@@ -282,7 +282,7 @@
             # The quarantine begins after 3 failures; the bound allows twice as many.
             assert len(cluster.workers["worker-0"].observations) <= 6
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_poison_work_ends_with_an_error_and_no_worker_is_quarantined() -> None:
@@ -299,7 +299,7 @@
             states = {worker.state for worker in ledger.workers.values()}
             assert states == {WorkerState.READY}
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_worker_gets_no_tasks_while_one_of_its_tasks_uses_more_than_declared() -> None:
@@ -312,7 +312,7 @@
             )
             (await entry.router.submit_job(oversized_job)).unwrap()
             await asyncio.sleep(3.0)
-            (overused_worker,) = [w for w in cluster.workers.values() if w.running]
+            (overused_worker,) = [w for w in cluster.workers.values() if w.running_ids]
             pending_requests = [
                 asyncio.ensure_future(
                     entry.router.run_request(
@@ -322,9 +322,9 @@
                 for number in range(24)
             ]
             await asyncio.sleep(0.5)
-            assert len(overused_worker.running) == 1
+            assert len(overused_worker.running_ids) == 1
             # The other two workers hold 8 tasks each.
-            assert sum(len(w.running) for w in cluster.workers.values()) == 17
+            assert sum(len(w.running_ids) for w in cluster.workers.values()) == 17
             await asyncio.gather(*pending_requests)
             await asyncio.sleep(20.0)
             second_round = [
@@ -339,7 +339,7 @@
                 for seen in cluster.observations
             )
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_work_that_can_never_run_is_refused_on_submission() -> None:
@@ -355,7 +355,7 @@
             refusal = (await router.submit_job(gang)).unwrap_err()
             assert refusal.kind is ErrorKind.INFEASIBLE
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_many_cancellations_at_once_leave_no_task_running() -> None:
@@ -379,16 +379,18 @@
                 *(entry.router.cancel_job(work_id, reason) for work_id in ids)
             )
             await asyncio.sleep(3.0)
-            assert not any(w.running for w in cluster.workers.values())
+            assert not any(w.running_ids for w in cluster.workers.values())
             view = (
                 await entry.router.run_request(make_sleep_submission(99, 0.1, True))
             ).unwrap()
             assert view.tasks[0].state is TaskState.SUCCEEDED
-            driver = cluster.nodes[cluster.owner() or ""].ownership.drivers["general.0"]
+            driver = cluster.nodes[cluster.find_owner() or ""].ownership.drivers[
+                "general.0"
+            ]
             for worker in driver.partition.ledger.workers.values():
                 assert worker.unallocated == worker.info.capacity
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
 
 
 def test_reboot_of_a_worker_reports_unknown_outcome_unless_idempotent() -> None:
@@ -410,4 +412,4 @@
                 0
             ].state is TaskState.SUCCEEDED
 
-    run_virtually(session())
+    run_with_virtual_clock(session())
